--- a/src/delivery/direct_channel.h
+++ b/src/delivery/direct_channel.h
@@ -11,7 +11,7 @@
 // reach a worker after those of a planner that took over. Orders are abandoned, without a
 // call of their handlers, when the channel is destroyed. On the thread of the client.
 
-#include "delivery/order_lanes.h"
+#include "delivery/order_queues.h"
 #include "delivery/worker_channel.h"
 #include "http/async_client.h"
 
--- a/src/delivery/relay_offer.h
+++ b/src/delivery/relay_offer.h
@@ -2,7 +2,7 @@
 
 // The datagram by which an instance offers the planner to carry orders for it.
 
-#include "delivery/relay_roster.h"
+#include "delivery/relay_selector.h"
 
 #include <optional>
 #include <string>
--- a/src/delivery/relay_roster.cc
+++ b/src/delivery/relay_selector.cc
@@ -1,7 +1,7 @@
 // The choice depends only on the offers and the list of workers, so a planner that takes
 // over chooses the same relays, which have connections to their workers already.
 
-#include "delivery/relay_roster.h"
+#include "delivery/relay_selector.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/delivery/relayed_channel.h
+++ b/src/delivery/relayed_channel.h
@@ -15,7 +15,7 @@
 // with any order without an answer. Not thread-safe.
 
 #include "delivery/delivery_port.h"
-#include "delivery/relay_roster.h"
+#include "delivery/relay_selector.h"
 #include "delivery/worker_channel.h"
 
 #include <cstdint>
--- a/src/delivery/testing/order_carrier_test.cc
+++ b/src/delivery/testing/order_forwarder_test.cc
@@ -1,4 +1,4 @@
-#include "delivery/order_carrier.h"
+#include "delivery/order_forwarder.h"
 
 #include "delivery/testing/fake_delivery.h"
 
--- a/src/delivery/testing/relay_roster_test.cc
+++ b/src/delivery/testing/relay_selector_test.cc
@@ -1,5 +1,5 @@
 #include "delivery/relay_offer.h"
-#include "delivery/relay_roster.h"
+#include "delivery/relay_selector.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
