--- a/src/delivery/delivery_codec.cc
+++ b/src/delivery/delivery_codec.cc
@@ -25,11 +25,11 @@
     void writeReport(const ReportDelta& delta, wire::Report::Builder out)
     {
         out.setBorn(delta.born);
-        out.setWhole(delta.whole);
-        auto moved = out.initMoved(static_cast<unsigned>(delta.moved.size()));
+        out.setWhole(delta.isSnapshot);
+        auto moved = out.initMoved(static_cast<unsigned>(delta.changed.size()));
         for (unsigned i = 0; i < moved.size(); ++i) {
-            const MovedTask& row = delta.moved[i];
-            moved[i].setPlace(static_cast<std::uint16_t>(row.place));
+            const ChangedTask& row = delta.changed[i];
+            moved[i].setPlace(static_cast<std::uint16_t>(row.position));
             moved[i].setPercent(static_cast<std::int16_t>(row.percent));
             moved[i].setKeepsCheckpoint(!row.checkpoint);
             if (row.checkpoint)
@@ -56,15 +56,15 @@
 
     ReportDelta readReport(wire::Report::Reader in, Millis clock)
     {
-        ReportDelta delta { .clock = clock, .born = in.getBorn(), .whole = in.getWhole() };
+        ReportDelta delta { .clock = clock, .born = in.getBorn(), .isSnapshot = in.getWhole() };
         for (const auto row : in.getMoved()) {
-            MovedTask moved { .place = row.getPlace(), .percent = row.getPercent(), .checkpoint = std::nullopt };
+            ChangedTask changed { .position = row.getPlace(), .percent = row.getPercent(), .checkpoint = std::nullopt };
             if (!row.getKeepsCheckpoint())
-                moved.checkpoint = std::string(row.getCheckpoint().cStr());
-            delta.moved.push_back(std::move(moved));
+                changed.checkpoint = std::string(row.getCheckpoint().cStr());
+            delta.changed.push_back(std::move(changed));
         }
-        for (const std::uint16_t place : in.getRemoved())
-            delta.removed.push_back(place);
+        for (const std::uint16_t position : in.getRemoved())
+            delta.removed.push_back(position);
         for (const auto row : in.getAdded())
             delta.added.push_back({ readRun(row.getRun()), row.getCheckpoint().cStr(), row.getPercent() });
         for (const auto row : in.getEnded())
@@ -90,20 +90,20 @@
     const WorkerCall& call = numbered.call;
     out.setId(numbered.id);
     const auto [found, isNew] = this->workers.try_emplace(call.worker().id);
-    Known& known = found->second;
+    WorkerEntry& entry = found->second;
     if (isNew) {
-        known.number = static_cast<std::uint32_t>(this->ids.size());
-        this->ids.emplace(known.number, call.worker().id);
+        entry.number = static_cast<std::uint32_t>(this->workerIds.size());
+        this->workerIds.emplace(entry.number, call.worker().id);
     }
-    if (isNew || known.incarnation != call.worker() || known.address != call.address()) {
-        known.incarnation = call.worker();
-        known.address = call.address();
+    if (isNew || entry.incarnation != call.worker() || entry.address != call.address()) {
+        entry.incarnation = call.worker();
+        entry.address = call.address();
         auto introduced = out.initIntroduces();
-        introduced.setId(known.incarnation.id);
-        introduced.setBorn(known.incarnation.born);
-        introduced.setAddress(known.address);
+        introduced.setId(entry.incarnation.id);
+        introduced.setBorn(entry.incarnation.born);
+        introduced.setAddress(entry.address);
     }
-    out.setWorker(known.number);
+    out.setWorker(entry.number);
     out.setHasLeaseEnd(call.leaseEnd.has_value());
     out.setLeaseEnd(call.leaseEnd.value_or(0));
     if (const auto* start = std::get_if<tasks::StartOrder>(&call.order)) {
@@ -125,8 +125,8 @@
 
 std::optional<NumberedAnswer> PlannerCodec::decode(wire::Answer::Reader in)
 {
-    const auto id = this->ids.find(in.getWorker());
-    if (id == this->ids.end())
+    const auto id = this->workerIds.find(in.getWorker());
+    if (id == this->workerIds.end())
         return std::nullopt;
     NumberedAnswer numbered { .id = in.getId(), .worker = id->second, .answer = {} };
     numbered.answer.status = in.getStatus();
@@ -147,16 +147,16 @@
     return numbered;
 }
 
-std::optional<NumberedCall> CarrierCodec::decode(wire::Order::Reader in, std::int64_t term)
+std::optional<NumberedCall> RelayCodec::decode(wire::Order::Reader in, std::int64_t term)
 {
-    Known& known = this->workers[in.getWorker()];
+    WorkerEntry& entry = this->workers[in.getWorker()];
     if (in.hasIntroduces()) {
         const auto introduced = in.getIntroduces();
-        known.incarnation = { introduced.getId().cStr(), introduced.getBorn() };
-        known.address = introduced.getAddress().cStr();
-        this->numbers[known.incarnation.id] = in.getWorker();
+        entry.incarnation = { introduced.getId().cStr(), introduced.getBorn() };
+        entry.address = introduced.getAddress().cStr();
+        this->workerNumbers[entry.incarnation.id] = in.getWorker();
     }
-    if (known.address.empty())
+    if (entry.address.empty())
         return std::nullopt;
     NumberedCall numbered { .id = in.getId(), .call = { .order = {}, .term = term, .leaseEnd = std::nullopt } };
     if (in.getHasLeaseEnd())
@@ -164,22 +164,22 @@
     const auto details = in.getDetails();
     switch (in.getKind()) {
     case wire::Order::Kind::START:
-        numbered.call.order = tasks::StartOrder { .worker = known.incarnation, .address = known.address, .run = readRun(details.getRun()), .text = nullptr, .checkpoint = details.getCheckpoint().cStr(), .ticket = details.getTicket().cStr() };
+        numbered.call.order = tasks::StartOrder { .worker = entry.incarnation, .address = entry.address, .run = readRun(details.getRun()), .text = nullptr, .checkpoint = details.getCheckpoint().cStr(), .ticket = details.getTicket().cStr() };
         return numbered;
     case wire::Order::Kind::STOP:
-        numbered.call.order = tasks::StopOrder { known.incarnation, known.address, readRun(details.getRun()) };
+        numbered.call.order = tasks::StopOrder { entry.incarnation, entry.address, readRun(details.getRun()) };
         return numbered;
     case wire::Order::Kind::POLL:
-        numbered.call.order = tasks::PollOrder { .worker = known.incarnation, .address = known.address, .acknowledged = in.getAcknowledged(), .wait = in.getWait() };
+        numbered.call.order = tasks::PollOrder { .worker = entry.incarnation, .address = entry.address, .acknowledged = in.getAcknowledged(), .wait = in.getWait() };
         return numbered;
     }
     return std::nullopt;
 }
 
-void CarrierCodec::encode(const NumberedAnswer& numbered, wire::Answer::Builder out)
+void RelayCodec::encode(const NumberedAnswer& numbered, wire::Answer::Builder out)
 {
     out.setId(numbered.id);
-    out.setWorker(this->numbers[numbered.worker]);
+    out.setWorker(this->workerNumbers[numbered.worker]);
     out.setStatus(static_cast<std::uint16_t>(numbered.answer.status));
     if (const auto* start = std::get_if<StartReply>(&numbered.answer.reply)) {
         out.setKind(wire::Order::Kind::START);
@@ -188,7 +188,7 @@
     }
     if (const auto* stop = std::get_if<StopReply>(&numbered.answer.reply)) {
         out.setKind(wire::Order::Kind::STOP);
-        out.setTaken(stop->taken);
+        out.setTaken(stop->stopped);
         out.setDeposed(stop->deposed);
         return writeClock(stop->clock, out);
     }
--- a/src/delivery/delivery_codec.h
+++ b/src/delivery/delivery_codec.h
@@ -6,9 +6,9 @@
 //     planner.encode(numberedCall, builder);
 //     auto answer = planner.decode(reader);        // empty: nothing that can be relied on
 //
-//     CarrierCodec carrier;                        // at the instance that carries them out
-//     auto numberedCall = carrier.decode(reader);
-//     carrier.encode(answer, builder);
+//     RelayCodec relay;                        // at the instance that carries them out
+//     auto numberedCall = relay.decode(reader);
+//     relay.encode(answer, builder);
 //
 // A session numbers the workers, and tells what has changed in a report only: so both
 // sides must see every message of the session once, in order. Not thread-safe.
@@ -30,30 +30,30 @@
     std::optional<NumberedAnswer> decode(wire::Answer::Reader);
 
 private:
-    struct Known {
+    struct WorkerEntry {
         std::uint32_t number { 0 };
         tasks::Incarnation incarnation;
         std::string address;
     };
 
-    std::unordered_map<std::string, Known> workers; // By id.
-    std::map<std::uint32_t, std::string> ids; // By number.
+    std::unordered_map<std::string, WorkerEntry> workers; // By id.
+    std::map<std::uint32_t, std::string> workerIds; // By number.
     ReportDecoder reports;
 };
 
-class CarrierCodec {
+class RelayCodec {
 public:
     std::optional<NumberedCall> decode(wire::Order::Reader, std::int64_t term);
     void encode(const NumberedAnswer&, wire::Answer::Builder);
 
 private:
-    struct Known {
+    struct WorkerEntry {
         tasks::Incarnation incarnation;
         std::string address;
     };
 
-    std::map<std::uint32_t, Known> workers; // By number.
-    std::unordered_map<std::string, std::uint32_t> numbers; // By id.
+    std::map<std::uint32_t, WorkerEntry> workers; // By number.
+    std::unordered_map<std::string, std::uint32_t> workerNumbers; // By id.
     ReportEncoder reports;
 };
 
--- a/src/delivery/delivery_port.h
+++ b/src/delivery/delivery_port.h
@@ -28,7 +28,7 @@
 struct OrderBatch {
     std::string peer;
     std::int64_t term { 0 };
-    Millis sentWall { 0 }; // Time of day.
+    Millis sentWallTime { 0 }; // Time of day.
     std::vector<NumberedCall> calls;
 };
 
@@ -39,10 +39,10 @@
 };
 
 // Another instance wants these carried out.
-struct OrdersArrived {
+struct OrdersReceived {
     std::uint64_t session { 0 };
     std::int64_t term { 0 };
-    Millis sentWall { 0 };
+    Millis sentWallTime { 0 };
     std::vector<NumberedCall> calls;
 };
 
@@ -51,7 +51,7 @@
     std::uint64_t session { 0 };
 };
 
-struct AnswersArrived {
+struct AnswersReceived {
     std::string peer;
     std::int64_t term { 0 };
     std::vector<NumberedAnswer> answers;
@@ -62,10 +62,10 @@
 struct PeerLost {
     std::string peer;
     std::int64_t term { 0 };
-    std::string why;
+    std::string reason;
 };
 
-using DeliveryEvent = std::variant<OrdersArrived, SessionEnded, AnswersArrived, PeerLost>;
+using DeliveryEvent = std::variant<OrdersReceived, SessionEnded, AnswersReceived, PeerLost>;
 
 class DeliveryPort {
 public:
@@ -76,7 +76,7 @@
     virtual bool answer(AnswerBatch) = 0;
 
     // Ends all sessions to others but those of this term.
-    virtual void keepOnly(std::int64_t term) = 0;
+    virtual void closeOtherTerms(std::int64_t term) = 0;
 };
 
 } // namespace rattan::delivery
--- a/src/delivery/delivery_thread.cc
+++ b/src/delivery/delivery_thread.cc
@@ -21,21 +21,21 @@
 
 namespace {
 
-    constexpr std::size_t mostCommands = 8192;
-    constexpr std::size_t mostEvents = 8192;
+    constexpr std::size_t maxCommands = 8192;
+    constexpr std::size_t maxEvents = 8192;
 
-    // A peer that has not taken a batch by then is cut off, frozen or overloaded; its
+    // A peer that has not acknowledged a batch by then is cut off, frozen or overloaded; its
     // workers are better served through another.
-    constexpr auto longestUntaken = 500 * kj::MILLISECONDS;
-    constexpr auto longestConnecting = 400 * kj::MILLISECONDS;
+    constexpr auto batchTimeout = 500 * kj::MILLISECONDS;
+    constexpr auto connectTimeout = 400 * kj::MILLISECONDS;
 
-    constexpr int mostUntaken = 400; // Batches of answers on their way through one session.
+    constexpr int maxUnacknowledgedBatches = 400; // Batches of answers on their way through one session.
 
 } // namespace
 
-struct DeliveryThread::Loop final : public kj::TaskSet::ErrorHandler {
+struct DeliveryThread::EventLoop final : public kj::TaskSet::ErrorHandler {
     // Through which this instance plans.
-    struct Outgoing {
+    struct OutgoingSession {
         std::uint64_t number { 0 };
         std::int64_t term { 0 };
         std::vector<OrderBatch> unsent; // Until the connection stands.
@@ -46,20 +46,20 @@
     };
 
     // Through which another instance plans.
-    struct Incoming {
-        explicit Incoming(wire::AnswerSink::Client sink)
+    struct IncomingSession {
+        explicit IncomingSession(wire::AnswerSink::Client sink)
             : sink(kj::mv(sink))
         {
         }
 
         wire::AnswerSink::Client sink;
-        CarrierCodec codec;
-        int untaken { 0 };
+        RelayCodec codec;
+        int unacknowledgedBatches { 0 };
     };
 
     class SinkService final : public wire::AnswerSink::Server {
     public:
-        SinkService(Loop& loop, std::string peer, std::uint64_t number)
+        SinkService(EventLoop& loop, std::string peer, std::uint64_t number)
             : loop(loop)
             , peer(std::move(peer))
             , number(number)
@@ -68,41 +68,41 @@
 
         kj::Promise<void> tell(TellContext context) override
         {
-            this->loop.answersTold(this->peer, this->number, context.getParams().getAnswers());
+            this->loop.handleAnswers(this->peer, this->number, context.getParams().getAnswers());
             return kj::READY_NOW;
         }
 
     private:
-        Loop& loop;
+        EventLoop& loop;
         const std::string peer;
         const std::uint64_t number;
     };
 
     class SessionService final : public wire::Session::Server {
     public:
-        SessionService(Loop& loop, std::uint64_t number, std::int64_t term)
+        SessionService(EventLoop& loop, std::uint64_t number, std::int64_t term)
             : loop(loop)
             , number(number)
             , term(term)
         {
         }
-        ~SessionService() { this->loop.incomingEnded(this->number); }
+        ~SessionService() { this->loop.endIncoming(this->number); }
 
         kj::Promise<void> carry(CarryContext context) override
         {
-            this->loop.ordersCarried(this->number, this->term, context.getParams());
+            this->loop.handleOrders(this->number, this->term, context.getParams());
             return kj::READY_NOW;
         }
 
     private:
-        Loop& loop;
+        EventLoop& loop;
         const std::uint64_t number;
         const std::int64_t term;
     };
 
     class CarrierService final : public wire::Carrier::Server {
     public:
-        explicit CarrierService(Loop& loop)
+        explicit CarrierService(EventLoop& loop)
             : loop(loop)
         {
         }
@@ -110,19 +110,19 @@
         kj::Promise<void> open(OpenContext context) override
         {
             const std::uint64_t number = ++this->loop.lastSession;
-            this->loop.incoming.emplace(number, Incoming(context.getParams().getAnswers()));
+            this->loop.incoming.emplace(number, IncomingSession(context.getParams().getAnswers()));
             context.getResults().setSession(kj::heap<SessionService>(this->loop, number, context.getParams().getTerm()));
             return kj::READY_NOW;
         }
 
     private:
-        Loop& loop;
+        EventLoop& loop;
     };
 
-    explicit Loop(DeliveryThread& owner)
+    explicit EventLoop(DeliveryThread& owner)
         : owner(owner)
         , io(kj::setupAsyncIo())
-        , wakes(this->io.lowLevelProvider->wrapInputFd(owner.waker, kj::LowLevelAsyncIoProvider::ALREADY_NONBLOCK | kj::LowLevelAsyncIoProvider::ALREADY_CLOEXEC))
+        , wakeStream(this->io.lowLevelProvider->wrapInputFd(owner.wakeFd, kj::LowLevelAsyncIoProvider::ALREADY_NONBLOCK | kj::LowLevelAsyncIoProvider::ALREADY_CLOEXEC))
         , tasks(*this)
     {
     }
@@ -140,11 +140,11 @@
     {
         while (!this->owner.stopping) {
             std::uint64_t count = 0;
-            this->wakes->tryRead(&count, sizeof(count), sizeof(count)).wait(this->io.waitScope);
+            this->wakeStream->tryRead(&count, sizeof(count), sizeof(count)).wait(this->io.waitScope);
             while (auto command = this->owner.commands.popFor(std::chrono::milliseconds(0)))
                 std::visit([this](auto& row) { this->execute(row); }, *command);
         }
-        this->isEnding = true;
+        this->isStopping = true;
     }
 
     void execute(OrderBatch& batch)
@@ -153,7 +153,7 @@
         if (found != this->outgoing.end() && found->second.term != batch.term)
             this->outgoing.erase(found);
         const auto [row, isNew] = this->outgoing.try_emplace(batch.peer);
-        Outgoing& out = row->second;
+        OutgoingSession& out = row->second;
         if (isNew)
             this->connect(batch.peer, batch.term, out);
         KJ_IF_MAYBE (session, out.session)
@@ -167,26 +167,26 @@
         const auto found = this->incoming.find(batch.session);
         if (found == this->incoming.end())
             return;
-        Incoming& in = found->second;
+        IncomingSession& in = found->second;
         auto request = in.sink.tellRequest();
         auto rows = request.initAnswers(static_cast<unsigned>(batch.answers.size()));
         for (unsigned i = 0; i < rows.size(); ++i)
             in.codec.encode(batch.answers[i], rows[i]);
-        if (++in.untaken > mostUntaken)
-            return this->dropIncoming(batch.session);
-        auto told = request.send().then([this, session = batch.session](auto&&) {
+        if (++in.unacknowledgedBatches > maxUnacknowledgedBatches)
+            return this->scheduleIncomingEnd(batch.session);
+        auto delivered = request.send().then([this, session = batch.session](auto&&) {
             if (const auto row = this->incoming.find(session); row != this->incoming.end())
-                --row->second.untaken;
+                --row->second.unacknowledgedBatches;
         });
-        this->tasks.add(told.catch_([this, session = batch.session](kj::Exception&&) { this->dropIncoming(session); }));
+        this->tasks.add(delivered.catch_([this, session = batch.session](kj::Exception&&) { this->scheduleIncomingEnd(session); }));
     }
 
-    void execute(const KeepOnly& kept)
+    void execute(const CloseOtherTerms& command)
     {
-        std::erase_if(this->outgoing, [&](const auto& row) { return row.second.term != kept.term; });
+        std::erase_if(this->outgoing, [&](const auto& row) { return row.second.term != command.term; });
     }
 
-    void connect(const std::string& peer, std::int64_t term, Outgoing& out)
+    void connect(const std::string& peer, std::int64_t term, OutgoingSession& out)
     {
         out.number = ++this->lastSession;
         out.term = term;
@@ -194,22 +194,22 @@
             auto connection = address->connect();
             return connection.attach(kj::mv(address));
         });
-        auto connected = this->io.provider->getTimer().timeoutAfter(longestConnecting, kj::mv(stream));
+        auto connected = this->io.provider->getTimer().timeoutAfter(connectTimeout, kj::mv(stream));
         auto ready = connected.then([this, peer, number = out.number](kj::Own<kj::AsyncIoStream>&& stream) {
-            this->connected(peer, number, kj::mv(stream));
+            this->handleConnected(peer, number, kj::mv(stream));
         });
-        this->tasks.add(ready.catch_([this, peer, number = out.number](kj::Exception&& problem) { this->loseLater(peer, number, problem); }));
+        this->tasks.add(ready.catch_([this, peer, number = out.number](kj::Exception&& problem) { this->schedulePeerLost(peer, number, problem); }));
     }
 
-    Outgoing* findOutgoing(const std::string& peer, std::uint64_t number)
+    OutgoingSession* findOutgoing(const std::string& peer, std::uint64_t number)
     {
         const auto found = this->outgoing.find(peer);
         return found == this->outgoing.end() || found->second.number != number ? nullptr : &found->second;
     }
 
-    void connected(const std::string& peer, std::uint64_t number, kj::Own<kj::AsyncIoStream> stream)
+    void handleConnected(const std::string& peer, std::uint64_t number, kj::Own<kj::AsyncIoStream> stream)
     {
-        Outgoing* out = this->findOutgoing(peer, number);
+        OutgoingSession* out = this->findOutgoing(peer, number);
         if (!out)
             return;
         out->stream = kj::mv(stream);
@@ -219,9 +219,9 @@
         request.setAnswers(kj::heap<SinkService>(*this, peer, number));
         auto opened = request.send();
         wire::Session::Client session = opened.getSession();
-        this->tasks.add(opened.ignoreResult().catch_([this, peer, number](kj::Exception&& problem) { this->loseLater(peer, number, problem); }));
+        this->tasks.add(opened.ignoreResult().catch_([this, peer, number](kj::Exception&& problem) { this->schedulePeerLost(peer, number, problem); }));
         this->tasks.add(out->client->onDisconnect().then([this, peer, number] {
-            this->loseLater(peer, number, KJ_EXCEPTION(DISCONNECTED, "the peer closed the connection"));
+            this->schedulePeerLost(peer, number, KJ_EXCEPTION(DISCONNECTED, "the peer closed the connection"));
         }));
         out->session = session;
         for (OrderBatch& batch : out->unsent)
@@ -229,82 +229,82 @@
         out->unsent.clear();
     }
 
-    void sendOrders(const OrderBatch& batch, wire::Session::Client& session, Outgoing& out)
+    void sendOrders(const OrderBatch& batch, wire::Session::Client& session, OutgoingSession& out)
     {
         auto request = session.carryRequest();
-        request.setSentAt(batch.sentWall);
+        request.setSentAt(batch.sentWallTime);
         auto rows = request.initOrders(static_cast<unsigned>(batch.calls.size()));
         for (unsigned i = 0; i < rows.size(); ++i)
             out.codec.encode(batch.calls[i], rows[i]);
-        auto taken = this->io.provider->getTimer().timeoutAfter(longestUntaken, request.send().ignoreResult());
-        this->tasks.add(taken.catch_([this, peer = batch.peer, number = out.number](kj::Exception&& problem) { this->loseLater(peer, number, problem); }));
+        auto acknowledged = this->io.provider->getTimer().timeoutAfter(batchTimeout, request.send().ignoreResult());
+        this->tasks.add(acknowledged.catch_([this, peer = batch.peer, number = out.number](kj::Exception&& problem) { this->schedulePeerLost(peer, number, problem); }));
     }
 
-    void loseLater(const std::string& peer, std::uint64_t number, const kj::Exception& problem)
+    void schedulePeerLost(const std::string& peer, std::uint64_t number, const kj::Exception& problem)
     {
         if (!this->findOutgoing(peer, number))
             return;
-        this->tasks.add(kj::evalLater([this, peer, number, why = std::string(problem.getDescription().cStr())] {
-            const Outgoing* out = this->findOutgoing(peer, number);
+        this->tasks.add(kj::evalLater([this, peer, number, reason = std::string(problem.getDescription().cStr())] {
+            const OutgoingSession* out = this->findOutgoing(peer, number);
             if (!out)
                 return;
-            this->push(PeerLost { peer, out->term, why });
+            this->push(PeerLost { peer, out->term, reason });
             this->outgoing.erase(peer);
         }));
     }
 
-    void answersTold(const std::string& peer, std::uint64_t number, capnp::List<wire::Answer>::Reader rows)
+    void handleAnswers(const std::string& peer, std::uint64_t number, capnp::List<wire::Answer>::Reader rows)
     {
-        Outgoing* out = this->findOutgoing(peer, number);
+        OutgoingSession* out = this->findOutgoing(peer, number);
         if (!out)
             return;
-        AnswersArrived arrived { .peer = peer, .term = out->term, .answers = {} };
+        AnswersReceived event { .peer = peer, .term = out->term, .answers = {} };
         for (const auto row : rows) {
             if (auto answer = out->codec.decode(row))
-                arrived.answers.push_back(std::move(*answer));
+                event.answers.push_back(std::move(*answer));
         }
-        this->push(std::move(arrived));
+        this->push(std::move(event));
     }
 
-    void ordersCarried(std::uint64_t number, std::int64_t term, wire::Session::CarryParams::Reader params)
+    void handleOrders(std::uint64_t number, std::int64_t term, wire::Session::CarryParams::Reader params)
     {
         const auto found = this->incoming.find(number);
         if (found == this->incoming.end())
             return;
-        OrdersArrived arrived { .session = number, .term = term, .sentWall = params.getSentAt(), .calls = {} };
+        OrdersReceived event { .session = number, .term = term, .sentWallTime = params.getSentAt(), .calls = {} };
         for (const auto row : params.getOrders()) {
             if (auto call = found->second.codec.decode(row, term))
-                arrived.calls.push_back(std::move(*call));
+                event.calls.push_back(std::move(*call));
         }
-        this->push(std::move(arrived));
+        this->push(std::move(event));
     }
 
-    void dropIncoming(std::uint64_t session)
+    void scheduleIncomingEnd(std::uint64_t session)
     {
-        this->tasks.add(kj::evalLater([this, session] { this->incomingEnded(session); }));
+        this->tasks.add(kj::evalLater([this, session] { this->endIncoming(session); }));
     }
 
-    void incomingEnded(std::uint64_t session)
+    void endIncoming(std::uint64_t session)
     {
-        if (this->incoming.erase(session) > 0 && !this->isEnding)
+        if (this->incoming.erase(session) > 0 && !this->isStopping)
             this->push(SessionEnded { session });
     }
 
     void push(DeliveryEvent event)
     {
         if (this->owner.events.push(std::move(event)))
-            this->owner.wakeOther();
+            this->owner.wakeOwner();
     }
 
     void taskFailed(kj::Exception&&) override { } // Each task tells its own failures.
 
     DeliveryThread& owner;
     kj::AsyncIoContext io;
-    kj::Own<kj::AsyncInputStream> wakes;
-    bool isEnding { false };
+    kj::Own<kj::AsyncInputStream> wakeStream;
+    bool isStopping { false };
     std::uint64_t lastSession { 0 };
-    std::map<std::uint64_t, Incoming> incoming;
-    std::map<std::string, Outgoing> outgoing; // By peer.
+    std::map<std::uint64_t, IncomingSession> incoming;
+    std::map<std::string, OutgoingSession> outgoing; // By peer.
     kj::Own<capnp::TwoPartyServer> server;
     kj::Own<kj::ConnectionReceiver> receiver;
     kj::TaskSet tasks;
@@ -312,9 +312,9 @@
 
 DeliveryThread::DeliveryThread(std::string address, std::function<void()> wake)
     : listenAddress(std::move(address))
-    , wakeOther(std::move(wake))
-    , commands(mostCommands)
-    , events(mostEvents)
+    , wakeOwner(std::move(wake))
+    , commands(maxCommands)
+    , events(maxEvents)
 {
 }
 
@@ -322,7 +322,7 @@
 
 Result<void> DeliveryThread::start()
 {
-    this->waker = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
+    this->wakeFd = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
     std::promise<std::pair<unsigned, std::string>> started;
     auto outcome = started.get_future();
     this->thread = std::thread([this, &started] {
@@ -343,26 +343,26 @@
     this->events.close();
     if (this->thread.joinable()) {
         const std::uint64_t one = 1;
-        static_cast<void>(write(this->waker, &one, sizeof(one))); // Fails only if it has been woken already.
+        static_cast<void>(write(this->wakeFd, &one, sizeof(one))); // Fails only if it has been woken already.
         this->thread.join();
     }
-    if (this->waker >= 0)
-        close(this->waker);
-    this->waker = -1;
+    if (this->wakeFd >= 0)
+        close(this->wakeFd);
+    this->wakeFd = -1;
 }
 
 void DeliveryThread::run(const std::function<void(unsigned port, std::string problem)>& started)
 {
-    bool isAnnounced = false;
+    bool isStartReported = false;
     try {
-        Loop loop(*this);
+        EventLoop loop(*this);
         const unsigned port = loop.listen();
-        isAnnounced = true;
+        isStartReported = true;
         started(port, "");
         loop.run();
     } catch (const kj::Exception& problem) {
         this->failed = true;
-        if (!isAnnounced)
+        if (!isStartReported)
             started(0, problem.getDescription().cStr());
     }
 }
@@ -372,7 +372,7 @@
     if (!this->thread.joinable() || this->failed || !this->commands.tryPush(std::move(command)))
         return false;
     const std::uint64_t one = 1;
-    static_cast<void>(write(this->waker, &one, sizeof(one))); // Fails only if it has been woken already.
+    static_cast<void>(write(this->wakeFd, &one, sizeof(one))); // Fails only if it has been woken already.
     return true;
 }
 
@@ -380,7 +380,7 @@
 
 bool DeliveryThread::answer(AnswerBatch batch) { return this->push(std::move(batch)); }
 
-void DeliveryThread::keepOnly(std::int64_t term) { this->push(KeepOnly { term }); }
+void DeliveryThread::closeOtherTerms(std::int64_t term) { this->push(CloseOtherTerms { term }); }
 
 std::optional<DeliveryEvent> DeliveryThread::next()
 {
--- a/src/delivery/delivery_thread.h
+++ b/src/delivery/delivery_thread.h
@@ -38,7 +38,7 @@
 
     bool send(OrderBatch) override;
     bool answer(AnswerBatch) override;
-    void keepOnly(std::int64_t term) override;
+    void closeOtherTerms(std::int64_t term) override;
 
     std::optional<DeliveryEvent> next();
 
@@ -49,22 +49,22 @@
     const std::string& address() const { return this->listenAddress; }
 
 private:
-    struct Loop;
+    struct EventLoop;
 
-    struct KeepOnly {
+    struct CloseOtherTerms {
         std::int64_t term { 0 };
     };
 
-    using Command = std::variant<OrderBatch, AnswerBatch, KeepOnly>;
+    using Command = std::variant<OrderBatch, AnswerBatch, CloseOtherTerms>;
 
     bool push(Command);
     void run(const std::function<void(unsigned port, std::string problem)>& started);
 
     std::string listenAddress;
-    std::function<void()> wakeOther;
+    std::function<void()> wakeOwner;
     BoundedRing<Command> commands;
     BoundedRing<DeliveryEvent> events;
-    int waker { -1 }; // An eventfd that ends the thread's wait.
+    int wakeFd { -1 }; // An eventfd that ends the thread's wait.
     std::atomic<bool> stopping { false };
     std::atomic<bool> failed { false };
     std::thread thread;
--- a/src/delivery/direct_channel.h
+++ b/src/delivery/direct_channel.h
@@ -6,7 +6,7 @@
 //     channel.send(call, handler);
 //
 // Starts and stops for one worker go out a few at a time, in the order in which they
-// came; polls go out at once. `maySend` is asked just before an order leaves: the machine
+// came; polls go out at once. `canSend` is asked just before an order leaves: the machine
 // may have stood still since it was decided, and an order of a term that is over could
 // reach a worker after those of a planner that took over. Orders are abandoned, without a
 // call of their handlers, when the channel is destroyed. On the thread of the client.
@@ -21,9 +21,9 @@
 
 class DirectChannel final : public WorkerChannel {
 public:
-    using MaySend = std::function<bool()>;
+    using CanSend = std::function<bool()>;
 
-    DirectChannel(http::AsyncClient&, const WorkerProtocol&, int group, MaySend);
+    DirectChannel(http::AsyncClient&, const WorkerProtocol&, int group, CanSend);
     ~DirectChannel() override;
     DirectChannel(const DirectChannel&) = delete;
     DirectChannel& operator=(const DirectChannel&) = delete;
@@ -37,8 +37,8 @@
     http::AsyncClient& client;
     const WorkerProtocol& protocol;
     const int group;
-    const MaySend maySend;
-    OrderLanes lanes;
+    const CanSend canSend;
+    OrderQueues queues;
 };
 
 } // namespace rattan::delivery
--- a/src/delivery/order_forwarder.cc
+++ b/src/delivery/order_forwarder.cc
@@ -17,54 +17,54 @@
 
 } // namespace
 
-OrderCarrier::OrderCarrier(const tasks::JobTable& jobs, DeliveryPort& port, const Clock& clock, MakeChannel makeChannel)
+OrderForwarder::OrderForwarder(const tasks::JobTable& jobs, DeliveryPort& port, const Clock& clock, CreateChannel createChannel)
     : jobs(jobs)
     , port(port)
     , clock(clock)
-    , makeChannel(std::move(makeChannel))
+    , createChannel(std::move(createChannel))
 {
 }
 
-void OrderCarrier::arrived(const OrdersArrived& orders, Millis now)
+void OrderForwarder::handleOrders(const OrdersReceived& orders, Millis now)
 {
-    this->claimed(orders.term);
+    this->handleNewTerm(orders.term);
     const auto [found, isNew] = this->sessions.try_emplace(orders.session);
     if (isNew) {
         found->second.term = orders.term;
-        found->second.channel = this->makeChannel(orders.session);
+        found->second.channel = this->createChannel(orders.session);
     }
     // A connection that stood still may deliver seconds later what it was given; the
     // planner has given these orders up, and others may have followed.
-    const bool isLate = this->clock.wall() - orders.sentWall > longestOnTheWay;
+    const bool isLate = this->clock.wall() - orders.sentWallTime > maxTransitTime;
     for (const NumberedCall& numbered : orders.calls) {
         if (isLate || orders.term < this->newestTerm)
-            this->tell(orders.session, { numbered.id, numbered.call.worker().id, notSent(numbered.call) });
+            this->queueAnswer(orders.session, { numbered.id, numbered.call.worker().id, notSentAnswer(numbered.call) });
         else
-            this->carry(orders.session, numbered, now);
+            this->forward(orders.session, numbered, now);
     }
 }
 
-void OrderCarrier::ended(const SessionEnded& session) { this->sessions.erase(session.session); }
+void OrderForwarder::handleSessionEnded(const SessionEnded& session) { this->sessions.erase(session.session); }
 
 // Whoever follows may have asked the same workers: what an earlier planner still wants
 // would only be refused there.
-void OrderCarrier::claimed(std::int64_t term)
+void OrderForwarder::handleNewTerm(std::int64_t term)
 {
     this->newestTerm = std::max(this->newestTerm, term);
 }
 
-void OrderCarrier::carry(std::uint64_t session, const NumberedCall& numbered, Millis now)
+void OrderForwarder::forward(std::uint64_t session, const NumberedCall& numbered, Millis now)
 {
-    NumberedCall whole = numbered;
-    auto* start = std::get_if<tasks::StartOrder>(&whole.call.order);
-    if (start && !this->giveText(*start)) {
-        this->sessions.at(session).untilRead.push_back({ std::move(whole), now + longestForText });
+    NumberedCall pendingCall = numbered;
+    auto* start = std::get_if<tasks::StartOrder>(&pendingCall.call.order);
+    if (start && !this->attachJobText(*start)) {
+        this->sessions.at(session).waitingForText.push_back({ std::move(pendingCall), now + maxJobTextWait });
         return;
     }
-    this->sendOn(session, whole);
+    this->sendToWorker(session, pendingCall);
 }
 
-bool OrderCarrier::giveText(tasks::StartOrder& start) const
+bool OrderForwarder::attachJobText(tasks::StartOrder& start) const
 {
     const tasks::JobEntry* entry = this->jobs.find(start.run.task.job);
     if (!entry)
@@ -73,52 +73,52 @@
     return true;
 }
 
-void OrderCarrier::sendOn(std::uint64_t session, const NumberedCall& numbered)
+void OrderForwarder::sendToWorker(std::uint64_t session, const NumberedCall& numbered)
 {
     this->sessions.at(session).channel->send(numbered.call, [this, session, id = numbered.id, worker = numbered.call.worker().id](const WorkerAnswer& answer) {
-        this->tell(session, { id, worker, answer });
+        this->queueAnswer(session, { id, worker, answer });
     });
 }
 
-void OrderCarrier::tell(std::uint64_t session, NumberedAnswer answer)
+void OrderForwarder::queueAnswer(std::uint64_t session, NumberedAnswer answer)
 {
     const auto found = this->sessions.find(session);
     if (found == this->sessions.end())
         return;
     SessionState& state = found->second;
     const Millis now = this->clock.now();
-    const Millis answerBy = isUrgent(answer.answer) ? now : now + longestHeld;
-    state.answerBy = state.answers.empty() ? answerBy : std::min(state.answerBy, answerBy);
+    const Millis answerDeadline = isUrgent(answer.answer) ? now : now + maxAnswerDelay;
+    state.answerDeadline = state.answers.empty() ? answerDeadline : std::min(state.answerDeadline, answerDeadline);
     state.answers.push_back(std::move(answer));
 }
 
-void OrderCarrier::step(Millis now)
+void OrderForwarder::step(Millis now)
 {
     std::erase_if(this->sessions, [&](const auto& row) { return row.second.term < this->newestTerm; });
     for (auto& [session, state] : this->sessions) {
-        std::deque<Waiting> waiting = std::exchange(state.untilRead, {});
-        for (Waiting& row : waiting) {
+        std::deque<WaitingStart> waiting = std::exchange(state.waitingForText, {});
+        for (WaitingStart& row : waiting) {
             const WorkerCall& call = row.numbered.call;
-            if (now >= row.until)
-                this->tell(session, { row.numbered.id, call.worker().id, notSent(call) });
-            else if (auto* start = std::get_if<tasks::StartOrder>(&row.numbered.call.order); this->giveText(*start))
-                this->sendOn(session, row.numbered);
+            if (now >= row.deadline)
+                this->queueAnswer(session, { row.numbered.id, call.worker().id, notSentAnswer(call) });
+            else if (auto* start = std::get_if<tasks::StartOrder>(&row.numbered.call.order); this->attachJobText(*start))
+                this->sendToWorker(session, row.numbered);
             else
-                state.untilRead.push_back(std::move(row));
+                state.waitingForText.push_back(std::move(row));
         }
-        if (!state.answers.empty() && now >= state.answerBy)
+        if (!state.answers.empty() && now >= state.answerDeadline)
             this->port.answer({ session, std::exchange(state.answers, {}) });
     }
 }
 
-Millis OrderCarrier::nextWake() const
+Millis OrderForwarder::nextWake() const
 {
     Millis next = std::numeric_limits<Millis>::max();
     for (const auto& [session, state] : this->sessions) {
         if (!state.answers.empty())
-            next = std::min(next, state.answerBy);
-        if (!state.untilRead.empty())
-            next = std::min(next, state.untilRead.front().until);
+            next = std::min(next, state.answerDeadline);
+        if (!state.waitingForText.empty())
+            next = std::min(next, state.waitingForText.front().deadline);
     }
     return next;
 }
--- a/src/delivery/order_queues.h
+++ b/src/delivery/order_queues.h
@@ -2,7 +2,7 @@
 
 // Orders to workers, at most a few at once to each: ten starts for one worker go
 // over the connections that are there, one after the other, instead of opening
-// ten. A worker that does not answer holds up only its own lane.
+// ten. A worker that does not answer holds up only its own queue.
 
 #include <cstddef>
 #include <deque>
@@ -12,48 +12,48 @@
 
 namespace rattan::delivery {
 
-class OrderLanes {
+class OrderQueues {
 public:
-    // Sends the order; done() has to be called once it was answered.
-    using Order = std::function<void()>;
+    // Sends the order; complete() has to be called once it was answered.
+    using SendFunction = std::function<void()>;
 
-    explicit OrderLanes(std::size_t width)
-        : width(width)
+    explicit OrderQueues(std::size_t maxInFlight)
+        : maxInFlight(maxInFlight)
     {
     }
 
-    void add(const std::string& worker, Order order)
+    void add(const std::string& worker, SendFunction sendOrder)
     {
-        Lane& lane = this->lanes[worker];
-        lane.waiting.push_back(std::move(order));
-        this->move(lane);
+        Queue& queue = this->queues[worker];
+        queue.waiting.push_back(std::move(sendOrder));
+        this->sendWaiting(queue);
     }
 
-    void done(const std::string& worker)
+    void complete(const std::string& worker)
     {
-        Lane& lane = this->lanes[worker];
-        --lane.underWay;
-        this->move(lane);
+        Queue& queue = this->queues[worker];
+        --queue.inFlight;
+        this->sendWaiting(queue);
     }
 
 private:
-    struct Lane {
-        std::size_t underWay { 0 };
-        std::deque<Order> waiting;
+    struct Queue {
+        std::size_t inFlight { 0 };
+        std::deque<SendFunction> waiting;
     };
 
-    void move(Lane& lane)
+    void sendWaiting(Queue& queue)
     {
-        while (lane.underWay < this->width && !lane.waiting.empty()) {
-            const Order order = std::move(lane.waiting.front());
-            lane.waiting.pop_front();
-            ++lane.underWay;
-            order();
+        while (queue.inFlight < this->maxInFlight && !queue.waiting.empty()) {
+            const SendFunction sendOrder = std::move(queue.waiting.front());
+            queue.waiting.pop_front();
+            ++queue.inFlight;
+            sendOrder();
         }
     }
 
-    const std::size_t width;
-    std::map<std::string, Lane> lanes;
+    const std::size_t maxInFlight;
+    std::map<std::string, Queue> queues;
 };
 
 } // namespace rattan::delivery
--- a/src/delivery/relay_offer.cc
+++ b/src/delivery/relay_offer.cc
@@ -8,24 +8,24 @@
 
 namespace {
 
-    constexpr const char* word = "relay";
+    constexpr const char* messageType = "relay";
 
 } // namespace
 
 std::string encodeOffer(const RelayOffer& offer)
 {
-    return fmt::format("{} {:.3f} {:.3f} {}", word, offer.strength.cores, offer.strength.megabits, offer.domain);
+    return fmt::format("{} {:.3f} {:.3f} {}", messageType, offer.capacity.cores, offer.capacity.megabitsPerSecond, offer.domain);
 }
 
 std::optional<RelayOffer> parseOffer(const std::string& from, const std::string& text)
 {
     std::istringstream in(text);
-    std::string first;
-    RelayOffer offer { .peer = from, .domain = {}, .strength = {} };
-    if (!(in >> first >> offer.strength.cores >> offer.strength.megabits >> offer.domain) || first != word)
+    std::string type;
+    RelayOffer offer { .peer = from, .domain = {}, .capacity = {} };
+    if (!(in >> type >> offer.capacity.cores >> offer.capacity.megabitsPerSecond >> offer.domain) || type != messageType)
         return std::nullopt;
-    const bool isSane = std::isfinite(offer.strength.cores) && std::isfinite(offer.strength.megabits) && offer.strength.cores > 0 && offer.strength.megabits > 0;
-    return isSane ? std::optional(offer) : std::nullopt;
+    const bool isValid = std::isfinite(offer.capacity.cores) && std::isfinite(offer.capacity.megabitsPerSecond) && offer.capacity.cores > 0 && offer.capacity.megabitsPerSecond > 0;
+    return isValid ? std::optional(offer) : std::nullopt;
 }
 
 } // namespace rattan::delivery
--- a/src/delivery/relay_selector.cc
+++ b/src/delivery/relay_selector.cc
@@ -19,101 +19,101 @@
     constexpr double workersPerMegabit = 30;
 
     // A relay serves callers too.
-    constexpr double relayShare = 0.25;
+    constexpr double relayLoadShare = 0.25;
 
-    constexpr Millis offerHolds = 3500; // Offers come once a second and may get lost.
-    constexpr Millis lostPause = 3000; // Cuts last seconds.
-    constexpr Millis directFor = 4000; // After a worker gave no answer through its relay.
-    constexpr Millis chooseEvery = 500;
+    constexpr Millis offerLifetime = 3500; // Offers come once a second and may get lost.
+    constexpr Millis lostRelayBackoff = 3000; // Cuts last seconds.
+    constexpr Millis directRouteTime = 4000; // After a worker gave no answer through its relay.
+    constexpr Millis reassignInterval = 500;
 
-    // Weighted rendezvous hashing: the highest score of all relays serves the worker, so a
+    // Weighted rendezvous hashing: the highest score of allRelays relays serves the worker, so a
     // relay that comes or goes moves only its own workers.
-    double scoreOf(const std::string& worker, const RelayOffer& relay)
+    double rendezvousScore(const std::string& worker, const RelayOffer& relay)
     {
         constexpr double steps = 1 << 30;
         const auto hash = static_cast<double>(std::hash<std::string> {}(worker + '/' + relay.peer) % (1 << 30));
-        return -relay.strength.asRelay() / std::log((hash + 1) / (steps + 1));
+        return -relay.capacity.workersAsRelay() / std::log((hash + 1) / (steps + 1));
     }
 
-    bool isStronger(const RelayOffer* a, const RelayOffer* b)
+    bool hasMoreCapacity(const RelayOffer* a, const RelayOffer* b)
     {
-        const double left = a->strength.asRelay();
-        const double right = b->strength.asRelay();
+        const double left = a->capacity.workersAsRelay();
+        const double right = b->capacity.workersAsRelay();
         return left != right ? left > right : a->peer < b->peer;
     }
 
 } // namespace
 
-double Strength::asPlanner() const { return std::min(this->cores * workersPerCore, this->megabits * workersPerMegabit); }
+double MachineCapacity::workersAsPlanner() const { return std::min(this->cores * workersPerCore, this->megabitsPerSecond * workersPerMegabit); }
 
-double Strength::asRelay() const { return this->asPlanner() * relayShare; }
+double MachineCapacity::workersAsRelay() const { return this->workersAsPlanner() * relayLoadShare; }
 
-void RelayRoster::offered(const RelayOffer& offer, Millis now)
+void RelaySelector::addOffer(const RelayOffer& offer, Millis now)
 {
     const auto [found, isNew] = this->offers.try_emplace(offer.peer);
-    this->isStale = this->isStale || isNew || now - found->second.heardAt > offerHolds;
+    this->needsReassignment = this->needsReassignment || isNew || now - found->second.receivedAt > offerLifetime;
     found->second.offer = offer;
-    found->second.heardAt = now;
+    found->second.receivedAt = now;
 }
 
-void RelayRoster::relayLost(const std::string& peer, Millis now)
+void RelaySelector::markRelayLost(const std::string& peer, Millis now)
 {
     const auto found = this->offers.find(peer);
     if (found == this->offers.end())
         return;
-    found->second.avoidedUntil = now + lostPause;
-    this->isStale = true;
-    this->chooseAt = now;
+    found->second.avoidedUntil = now + lostRelayBackoff;
+    this->needsReassignment = true;
+    this->nextReassignment = now;
 }
 
-void RelayRoster::setWorkers(std::vector<WorkerPlace> places)
+void RelaySelector::setWorkers(std::vector<WorkerLocation> locations)
 {
     std::set<std::string> present;
-    for (WorkerPlace& place : places) {
-        present.insert(place.id);
-        const auto [found, isNew] = this->workers.try_emplace(std::move(place.id));
-        this->isStale = this->isStale || isNew;
-        found->second.domain = std::move(place.domain);
+    for (WorkerLocation& location : locations) {
+        present.insert(location.id);
+        const auto [found, isNew] = this->workers.try_emplace(std::move(location.id));
+        this->needsReassignment = this->needsReassignment || isNew;
+        found->second.domain = std::move(location.domain);
     }
     std::erase_if(this->workers, [&](const auto& row) { return !present.contains(row.first); });
 }
 
-void RelayRoster::routeFailed(const std::string& worker, Millis now)
+void RelaySelector::markRouteFailed(const std::string& worker, Millis now)
 {
     const auto found = this->workers.find(worker);
     if (found == this->workers.end() || !found->second.relay)
         return;
     const bool wasDirect = now < found->second.directUntil;
-    found->second.directUntil = wasDirect ? 0 : now + directFor;
+    found->second.directUntil = wasDirect ? 0 : now + directRouteTime;
 }
 
-std::optional<std::string> RelayRoster::routeOf(const std::string& worker, Millis now)
+std::optional<std::string> RelaySelector::relayFor(const std::string& worker, Millis now)
 {
-    if (now >= this->chooseAt)
-        this->chooseIfChanged(now);
+    if (now >= this->nextReassignment)
+        this->reassignIfChanged(now);
     const auto found = this->workers.find(worker);
     if (found == this->workers.end() || now < found->second.directUntil)
         return std::nullopt;
     return found->second.relay;
 }
 
-std::vector<const RelayOffer*> RelayRoster::usable(Millis now) const
+std::vector<const RelayOffer*> RelaySelector::usableOffers(Millis now) const
 {
     std::vector<const RelayOffer*> found;
     for (const auto& [peer, row] : this->offers) {
-        if (now - row.heardAt <= offerHolds && now >= row.avoidedUntil)
+        if (now - row.receivedAt <= offerLifetime && now >= row.avoidedUntil)
             found.push_back(&row.offer);
     }
-    std::sort(found.begin(), found.end(), isStronger);
+    std::sort(found.begin(), found.end(), hasMoreCapacity);
     return found;
 }
 
-std::optional<std::string> RelayRoster::hashed(const std::string& worker, const std::vector<const RelayOffer*>& relays)
+std::optional<std::string> RelaySelector::selectByHash(const std::string& worker, const std::vector<const RelayOffer*>& relays)
 {
     std::optional<std::string> best;
     double highest = -1;
     for (const RelayOffer* relay : relays) {
-        const double score = scoreOf(worker, *relay);
+        const double score = rendezvousScore(worker, *relay);
         if (score > highest) {
             highest = score;
             best = relay->peer;
@@ -122,46 +122,46 @@
     return best;
 }
 
-void RelayRoster::chooseIfChanged(Millis now)
+void RelaySelector::reassignIfChanged(Millis now)
 {
-    this->chooseAt = now + chooseEvery;
-    std::erase_if(this->offers, [&](const auto& row) { return now - row.second.heardAt > offerHolds + lostPause; });
-    const std::vector<const RelayOffer*> usable = this->usable(now);
+    this->nextReassignment = now + reassignInterval;
+    std::erase_if(this->offers, [&](const auto& row) { return now - row.second.receivedAt > offerLifetime + lostRelayBackoff; });
+    const std::vector<const RelayOffer*> usable = this->usableOffers(now);
     std::vector<std::string> peers;
     peers.reserve(usable.size());
     for (const RelayOffer* relay : usable)
         peers.push_back(relay->peer);
-    if (!this->isStale && peers == this->candidates)
+    if (!this->needsReassignment && peers == this->candidatePeers)
         return;
-    this->isStale = false;
-    this->candidates = std::move(peers);
-    this->choose(usable);
+    this->needsReassignment = false;
+    this->candidatePeers = std::move(peers);
+    this->assignRelays(usable);
 }
 
-void RelayRoster::choose(const std::vector<const RelayOffer*>& usable)
+void RelaySelector::assignRelays(const std::vector<const RelayOffer*>& usable)
 {
-    const bool isShared = static_cast<double>(this->workers.size()) > this->own.asPlanner();
-    std::map<std::string, double> unserved; // Workers, by failure domain.
+    const bool needsRelays = static_cast<double>(this->workers.size()) > this->plannerCapacity.workersAsPlanner();
+    std::map<std::string, double> unassignedWorkers; // Workers, by failure domain.
     for (const auto& [id, worker] : this->workers)
-        ++unserved[worker.domain];
-    std::map<std::string, std::vector<const RelayOffer*>> ofDomain;
-    std::vector<const RelayOffer*> all;
+        ++unassignedWorkers[worker.domain];
+    std::map<std::string, std::vector<const RelayOffer*>> relaysByDomain;
+    std::vector<const RelayOffer*> allRelays;
     for (const RelayOffer* relay : usable) {
-        double& left = unserved[relay->domain];
-        if (!isShared || left <= 0)
+        double& remaining = unassignedWorkers[relay->domain];
+        if (!needsRelays || remaining <= 0)
             continue;
-        left -= relay->strength.asRelay();
-        ofDomain[relay->domain].push_back(relay);
-        all.push_back(relay);
+        remaining -= relay->capacity.workersAsRelay();
+        relaysByDomain[relay->domain].push_back(relay);
+        allRelays.push_back(relay);
     }
     std::set<std::string> used;
     for (auto& [id, worker] : this->workers) {
-        const auto own = ofDomain.find(worker.domain);
-        worker.relay = hashed(id, own == ofDomain.end() ? all : own->second);
+        const auto domainRelays = relaysByDomain.find(worker.domain);
+        worker.relay = selectByHash(id, domainRelays == relaysByDomain.end() ? allRelays : domainRelays->second);
         if (worker.relay)
             used.insert(*worker.relay);
     }
-    this->chosen.assign(used.begin(), used.end());
+    this->activePeers.assign(used.begin(), used.end());
 }
 
 } // namespace rattan::delivery
--- a/src/delivery/relay_selector.h
+++ b/src/delivery/relay_selector.h
@@ -2,12 +2,12 @@
 
 // Which instance carries the orders to which worker.
 //
-//     RelayRoster roster({ .cores = 0.5, .megabits = 200 });
-//     roster.offered({ "10.1.0.9:7000", "sapporo-a", { 0.12, 20 } }, now);
-//     roster.setWorkers(places);                       // whenever the list has changed
-//     if (const auto relay = roster.routeOf(worker, now)) ...   // empty: from here
-//     roster.routeFailed(worker, now);                 // no answer came that way
-//     roster.relayLost(peer, now);
+//     RelaySelector selector({ .cores = 0.5, .megabitsPerSecond = 200 });
+//     selector.addOffer({ "10.1.0.9:7000", "sapporo-a", { 0.12, 20 } }, now);
+//     selector.setWorkers(locations);                    // whenever the list has changed
+//     if (const auto relay = selector.relayFor(worker, now)) ...   // empty: from here
+//     selector.markRouteFailed(worker, now);                 // no answer came that way
+//     selector.markRelayLost(peer, now);
 //
 // The load this answers: one planner beside a thousand workers, whose polls and starts
 // fill its link and its processor until it cannot renew its term. While it can serve all
@@ -31,68 +31,68 @@
 namespace rattan::delivery {
 
 // What a machine has for this work.
-struct Strength {
+struct MachineCapacity {
     double cores { 0 };
-    double megabits { 0 }; // A second, of its link.
+    double megabitsPerSecond { 0 }; // A second, of its link.
 
     // Workers that it can serve while it plans, and while it serves callers.
-    double asPlanner() const;
-    double asRelay() const;
+    double workersAsPlanner() const;
+    double workersAsRelay() const;
 };
 
 struct RelayOffer {
     std::string peer; // IP:PORT
     std::string domain; // Failure domain.
-    Strength strength;
+    MachineCapacity capacity;
 };
 
-struct WorkerPlace {
+struct WorkerLocation {
     std::string id;
     std::string domain;
 };
 
-class RelayRoster {
+class RelaySelector {
 public:
-    explicit RelayRoster(Strength own)
-        : own(own)
+    explicit RelaySelector(MachineCapacity plannerCapacity)
+        : plannerCapacity(plannerCapacity)
     {
     }
 
-    void offered(const RelayOffer&, Millis now);
-    void relayLost(const std::string& peer, Millis now);
-    void setWorkers(std::vector<WorkerPlace>);
-    void routeFailed(const std::string& worker, Millis now);
+    void addOffer(const RelayOffer&, Millis now);
+    void markRelayLost(const std::string& peer, Millis now);
+    void setWorkers(std::vector<WorkerLocation>);
+    void markRouteFailed(const std::string& worker, Millis now);
 
-    std::optional<std::string> routeOf(const std::string& worker, Millis now);
+    std::optional<std::string> relayFor(const std::string& worker, Millis now);
 
     // The relays in use.
-    std::size_t relays() const { return this->chosen.size(); }
+    std::size_t activeRelayCount() const { return this->activePeers.size(); }
 
 private:
     struct Offer {
         RelayOffer offer;
-        Millis heardAt { 0 };
+        Millis receivedAt { 0 };
         Millis avoidedUntil { 0 };
     };
 
-    struct WorkerRoute {
+    struct WorkerEntry {
         std::string domain;
         std::optional<std::string> relay; // Empty: from here.
         Millis directUntil { 0 };
     };
 
-    void chooseIfChanged(Millis now);
-    void choose(const std::vector<const RelayOffer*>& usable);
-    std::vector<const RelayOffer*> usable(Millis now) const;
-    static std::optional<std::string> hashed(const std::string& worker, const std::vector<const RelayOffer*>&);
+    void reassignIfChanged(Millis now);
+    void assignRelays(const std::vector<const RelayOffer*>& usable);
+    std::vector<const RelayOffer*> usableOffers(Millis now) const;
+    static std::optional<std::string> selectByHash(const std::string& worker, const std::vector<const RelayOffer*>&);
 
-    const Strength own;
+    const MachineCapacity plannerCapacity;
     std::map<std::string, Offer> offers; // By peer.
-    std::map<std::string, WorkerRoute> workers; // By id.
-    std::vector<std::string> candidates; // Peers that could serve, when the choice was made.
-    std::vector<std::string> chosen; // Peers that some worker is served by.
-    Millis chooseAt { 0 }; // Chosen anew then.
-    bool isStale { true };
+    std::map<std::string, WorkerEntry> workers; // By id.
+    std::vector<std::string> candidatePeers; // Peers that could serve, when the choice was made.
+    std::vector<std::string> activePeers; // Peers that some worker is served by.
+    Millis nextReassignment { 0 }; // Relays are chosen anew then.
+    bool needsReassignment { true };
 };
 
 } // namespace rattan::delivery
--- a/src/delivery/relayed_channel.cc
+++ b/src/delivery/relayed_channel.cc
@@ -9,39 +9,39 @@
 namespace {
 
     // Beyond what a poll may wait: a relay gives its own tries up sooner, and tells so.
-    constexpr Millis relayedLimit = 1600;
+    constexpr Millis relayReplyTimeout = 1600;
 
-    Millis limitOf(const WorkerCall& call)
+    Millis replyTimeoutOf(const WorkerCall& call)
     {
         const auto* poll = std::get_if<tasks::PollOrder>(&call.order);
-        return relayedLimit + (poll ? poll->wait : 0);
+        return relayReplyTimeout + (poll ? poll->wait : 0);
     }
 
 } // namespace
 
-RelayedChannel::RelayedChannel(std::int64_t term, RelayRoster& roster, WorkerChannel& direct, DeliveryPort& port, const Clock& clock)
+RelayedChannel::RelayedChannel(std::int64_t term, RelaySelector& selector, WorkerChannel& direct, DeliveryPort& port, const Clock& clock)
     : term(term)
-    , roster(roster)
+    , selector(selector)
     , direct(direct)
     , port(port)
     , clock(clock)
 {
-    this->port.keepOnly(term);
+    this->port.closeOtherTerms(term);
 }
 
 void RelayedChannel::send(const WorkerCall& call, Handler handler)
 {
     const Millis now = this->clock.now();
-    const auto relay = this->roster.routeOf(call.worker().id, now);
+    const auto relay = this->selector.relayFor(call.worker().id, now);
     if (!relay)
         return this->sendDirect(call, handler);
     const std::uint32_t id = ++this->lastId;
-    const Millis endsAt = now + limitOf(call);
-    this->pending.emplace(id, Pending { *relay, call, std::move(handler), endsAt });
-    this->ends.emplace(endsAt, id);
-    Outgoing& out = this->outgoing[*relay];
-    const Millis sendBy = call.isPoll() ? now + longestHeld : now;
-    out.sendBy = out.ids.empty() ? sendBy : std::min(out.sendBy, sendBy);
+    const Millis deadline = now + replyTimeoutOf(call);
+    this->pending.emplace(id, Pending { *relay, call, std::move(handler), deadline });
+    this->deadlines.emplace(deadline, id);
+    OutgoingBatch& out = this->outgoing[*relay];
+    const Millis sendDeadline = call.isPoll() ? now + maxPollDelay : now;
+    out.sendDeadline = out.ids.empty() ? sendDeadline : std::min(out.sendDeadline, sendDeadline);
     out.ids.push_back(id);
 }
 
@@ -49,7 +49,7 @@
 {
     this->direct.send(call, [this, worker = call.worker().id, handler](const WorkerAnswer& answer) {
         if (!wasAnswered(answer))
-            this->roster.routeFailed(worker, this->clock.now());
+            this->selector.markRouteFailed(worker, this->clock.now());
         handler(answer);
     });
 }
@@ -57,18 +57,18 @@
 void RelayedChannel::step(Millis now)
 {
     for (auto& [peer, out] : this->outgoing) {
-        if (!out.ids.empty() && now >= out.sendBy)
+        if (!out.ids.empty() && now >= out.sendDeadline)
             this->flush(peer, out, now);
     }
-    while (!this->ends.empty() && this->ends.begin()->first <= now) {
-        const std::uint32_t id = this->ends.begin()->second;
-        this->finish(id, withoutAnswer(this->pending.at(id).call), now);
+    while (!this->deadlines.empty() && this->deadlines.begin()->first <= now) {
+        const std::uint32_t id = this->deadlines.begin()->second;
+        this->complete(id, missingAnswer(this->pending.at(id).call), now);
     }
 }
 
-void RelayedChannel::flush(const std::string& peer, Outgoing& out, Millis now)
+void RelayedChannel::flush(const std::string& peer, OutgoingBatch& out, Millis now)
 {
-    OrderBatch batch { .peer = peer, .term = this->term, .sentWall = this->clock.wall(), .calls = {} };
+    OrderBatch batch { .peer = peer, .term = this->term, .sentWallTime = this->clock.wall(), .calls = {} };
     const std::vector<std::uint32_t> ids = std::exchange(out.ids, {});
     for (const std::uint32_t id : ids) {
         if (const auto found = this->pending.find(id); found != this->pending.end())
@@ -78,59 +78,59 @@
         return;
     for (const std::uint32_t id : ids) {
         if (const auto found = this->pending.find(id); found != this->pending.end())
-            this->finish(id, notSent(found->second.call), now);
+            this->complete(id, notSentAnswer(found->second.call), now);
     }
 }
 
 Millis RelayedChannel::nextWake() const
 {
-    Millis next = this->ends.empty() ? std::numeric_limits<Millis>::max() : this->ends.begin()->first;
+    Millis next = this->deadlines.empty() ? std::numeric_limits<Millis>::max() : this->deadlines.begin()->first;
     for (const auto& [peer, out] : this->outgoing) {
         if (!out.ids.empty())
-            next = std::min(next, out.sendBy);
+            next = std::min(next, out.sendDeadline);
     }
     return next;
 }
 
-void RelayedChannel::finish(std::uint32_t id, const WorkerAnswer& answer, Millis now)
+void RelayedChannel::complete(std::uint32_t id, const WorkerAnswer& answer, Millis now)
 {
     const auto found = this->pending.find(id);
     if (found == this->pending.end())
         return; // Given up before, and told so.
     const Pending done = std::move(found->second);
     this->pending.erase(found);
-    this->ends.erase({ done.endsAt, id });
+    this->deadlines.erase({ done.deadline, id });
     if (!wasAnswered(answer))
-        this->roster.routeFailed(done.call.worker().id, now);
+        this->selector.markRouteFailed(done.call.worker().id, now);
     done.handler(answer);
 }
 
-void RelayedChannel::arrived(const AnswersArrived& answers, Millis now)
+void RelayedChannel::handleAnswers(const AnswersReceived& answers, Millis now)
 {
     if (answers.term != this->term)
         return;
     for (const NumberedAnswer& row : answers.answers)
-        this->finish(row.id, row.answer, now);
+        this->complete(row.id, row.answer, now);
 }
 
-void RelayedChannel::lost(const PeerLost& peer, Millis now)
+void RelayedChannel::handlePeerLost(const PeerLost& peer, Millis now)
 {
     if (peer.term != this->term)
         return;
-    this->roster.relayLost(peer.peer, now);
-    const Outgoing unsent = std::exchange(this->outgoing[peer.peer], {});
+    this->selector.markRelayLost(peer.peer, now);
+    const OutgoingBatch unsent = std::exchange(this->outgoing[peer.peer], {});
     for (const std::uint32_t id : unsent.ids) {
         if (const auto found = this->pending.find(id); found != this->pending.end())
-            this->finish(id, notSent(found->second.call), now);
+            this->complete(id, notSentAnswer(found->second.call), now);
     }
-    std::vector<std::uint32_t> underWay;
+    std::vector<std::uint32_t> inFlight;
     for (const auto& [id, row] : this->pending) {
         if (row.peer == peer.peer)
-            underWay.push_back(id);
+            inFlight.push_back(id);
     }
-    for (const std::uint32_t id : underWay) {
+    for (const std::uint32_t id : inFlight) {
         if (const auto found = this->pending.find(id); found != this->pending.end())
-            this->finish(id, withoutAnswer(found->second.call), now);
+            this->complete(id, missingAnswer(found->second.call), now);
     }
 }
 
--- a/src/delivery/report_delta.cc
+++ b/src/delivery/report_delta.cc
@@ -1,5 +1,5 @@
 // Both sides keep the list of what runs in the same order: what is still there keeps
-// its order, and what is new follows. A run is told by its place, since its name is
+// its order, and what is new follows. A run is told by its position, since its name is
 // most of the bytes of a row.
 
 #include "delivery/report_delta.h"
@@ -19,43 +19,43 @@
         return found == list.end() ? nullptr : &*found;
     }
 
-    // Adds what has become of the runs of `before`, and gives those that are still there.
-    std::vector<RunningTask> compare(const std::vector<RunningTask>& before, const std::vector<RunningTask>& now, ReportDelta& delta)
+    // Adds what has become of the runs of `previous`, and gives those that are still there.
+    std::vector<RunningTask> diffRunning(const std::vector<RunningTask>& previous, const std::vector<RunningTask>& current, ReportDelta& delta)
     {
-        std::vector<RunningTask> kept;
-        for (std::size_t place = 0; place < before.size(); ++place) {
-            const RunningTask* row = findRun(now, before[place].run);
+        std::vector<RunningTask> remaining;
+        for (std::size_t position = 0; position < previous.size(); ++position) {
+            const RunningTask* row = findRun(current, previous[position].run);
             if (!row) {
-                delta.removed.push_back(place);
+                delta.removed.push_back(position);
                 continue;
             }
-            kept.push_back(*row);
-            const bool sameCheckpoint = row->checkpoint == before[place].checkpoint;
-            if (row->percent == before[place].percent && sameCheckpoint)
+            remaining.push_back(*row);
+            const bool sameCheckpoint = row->checkpoint == previous[position].checkpoint;
+            if (row->percent == previous[position].percent && sameCheckpoint)
                 continue;
-            delta.moved.push_back({ place, row->percent, sameCheckpoint ? std::nullopt : std::optional(row->checkpoint) });
+            delta.changed.push_back({ position, row->percent, sameCheckpoint ? std::nullopt : std::optional(row->checkpoint) });
         }
-        return kept;
+        return remaining;
     }
 
-    bool applyMoved(const std::vector<MovedTask>& moved, std::vector<RunningTask>& running)
+    bool applyChanged(const std::vector<ChangedTask>& changed, std::vector<RunningTask>& running)
     {
-        for (const MovedTask& row : moved) {
-            if (row.place >= running.size())
+        for (const ChangedTask& row : changed) {
+            if (row.position >= running.size())
                 return false;
-            running[row.place].percent = row.percent;
+            running[row.position].percent = row.percent;
             if (row.checkpoint)
-                running[row.place].checkpoint = *row.checkpoint;
+                running[row.position].checkpoint = *row.checkpoint;
         }
         return true;
     }
 
     bool applyRemoved(const std::vector<std::size_t>& removed, std::vector<RunningTask>& running)
     {
-        for (auto place = removed.rbegin(); place != removed.rend(); ++place) {
-            if (*place >= running.size())
+        for (auto position = removed.rbegin(); position != removed.rend(); ++position) {
+            if (*position >= running.size())
                 return false;
-            running.erase(running.begin() + static_cast<std::ptrdiff_t>(*place));
+            running.erase(running.begin() + static_cast<std::ptrdiff_t>(*position));
         }
         return true;
     }
@@ -66,31 +66,31 @@
 {
     ReportDelta delta { .clock = report.clock, .born = report.born };
     delta.ended = report.ended;
-    const auto [found, isFirst] = this->told.try_emplace(worker);
-    Told& before = found->second;
-    delta.whole = isFirst || before.born != report.born;
-    if (delta.whole)
-        before.running.clear();
-    std::vector<RunningTask> running = compare(before.running, report.running, delta);
+    const auto [found, isFirst] = this->lastReports.try_emplace(worker);
+    LastReport& previous = found->second;
+    delta.isSnapshot = isFirst || previous.born != report.born;
+    if (delta.isSnapshot)
+        previous.running.clear();
+    std::vector<RunningTask> running = diffRunning(previous.running, report.running, delta);
     for (const RunningTask& row : report.running) {
-        if (findRun(before.running, row.run))
+        if (findRun(previous.running, row.run))
             continue;
         delta.added.push_back(row);
         running.push_back(row);
     }
-    before = { report.born, std::move(running) };
+    previous = { report.born, std::move(running) };
     return delta;
 }
 
 std::optional<WorkerReport> ReportDecoder::decode(const std::string& worker, const ReportDelta& delta)
 {
     const auto [found, isFirst] = this->running.try_emplace(worker);
-    if (isFirst && !delta.whole) {
+    if (isFirst && !delta.isSnapshot) {
         this->running.erase(found);
         return std::nullopt;
     }
-    std::vector<RunningTask> running = delta.whole ? std::vector<RunningTask> {} : found->second;
-    if (!applyMoved(delta.moved, running) || !applyRemoved(delta.removed, running))
+    std::vector<RunningTask> running = delta.isSnapshot ? std::vector<RunningTask> {} : found->second;
+    if (!applyChanged(delta.changed, running) || !applyRemoved(delta.removed, running))
         return std::nullopt;
     running.insert(running.end(), delta.added.begin(), delta.added.end());
     found->second = running;
--- a/src/delivery/report_delta.h
+++ b/src/delivery/report_delta.h
@@ -22,9 +22,9 @@
 
 namespace rattan::delivery {
 
-// A run that is still there; its place in the list of the report before.
-struct MovedTask {
-    std::size_t place { 0 };
+// A run that is still there; its position in the list of the report before.
+struct ChangedTask {
+    std::size_t position { 0 };
     std::int64_t percent { 0 };
     std::optional<std::string> checkpoint; // Empty: as before.
 };
@@ -32,8 +32,8 @@
 struct ReportDelta {
     Millis clock { 0 };
     Millis born { 0 };
-    bool whole { false }; // Has no base: all that runs is listed in `added`.
-    std::vector<MovedTask> moved;
+    bool isSnapshot { false }; // Has no base: all that runs is listed in `added`.
+    std::vector<ChangedTask> changed;
     std::vector<std::size_t> removed; // Places in the list of the report before, rising.
     std::vector<tasks::RunningTask> added;
     std::vector<tasks::EndedTask> ended; // All that are not acknowledged.
@@ -44,12 +44,12 @@
     ReportDelta encode(const std::string& worker, const tasks::WorkerReport&);
 
 private:
-    struct Told {
+    struct LastReport {
         Millis born { 0 };
         std::vector<tasks::RunningTask> running;
     };
 
-    std::map<std::string, Told> told; // By worker.
+    std::map<std::string, LastReport> lastReports; // By worker.
 };
 
 class ReportDecoder {
--- a/src/delivery/testing/fake_delivery.h
+++ b/src/delivery/testing/fake_delivery.h
@@ -50,12 +50,12 @@
         this->answers.push_back(std::move(batch));
         return true;
     }
-    void keepOnly(std::int64_t term) override { this->kept = term; }
+    void closeOtherTerms(std::int64_t term) override { this->keptTerm = term; }
 
     bool isFull { false };
     std::vector<OrderBatch> orders;
     std::vector<AnswerBatch> answers;
-    std::int64_t kept { 0 };
+    std::int64_t keptTerm { 0 };
 };
 
 } // namespace rattan::delivery::testing
--- a/src/delivery/testing/order_forwarder_test.cc
+++ b/src/delivery/testing/order_forwarder_test.cc
@@ -15,82 +15,82 @@
 constexpr std::int64_t term = 7;
 const std::string job = "00000000000000aa";
 
-class OrderCarrierTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(OrderCarrierTest);
-    CPPUNIT_TEST(startsGetTheTextOfTheirJob);
-    CPPUNIT_TEST(aStartWaitsUntilItsJobIsRead);
-    CPPUNIT_TEST(aStartOfAJobThatNobodyKnowsIsNotSent);
-    CPPUNIT_TEST(whatLayOnTheWayIsNotSent);
+class OrderForwarderTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(OrderForwarderTest);
+    CPPUNIT_TEST(startsCarryTheirJobText);
+    CPPUNIT_TEST(startWaitsForItsJobRecord);
+    CPPUNIT_TEST(startOfUnknownJobIsNotSent);
+    CPPUNIT_TEST(ordersDelayedInTransitAreNotSent);
     CPPUNIT_TEST(ordersOfAnEarlierTermAreNotSent);
-    CPPUNIT_TEST(endsAreToldAtOnceAndTheRestTogether);
-    CPPUNIT_TEST(aSessionThatEndedIsNotAnswered);
+    CPPUNIT_TEST(taskEndsAreSentAtOnceAndOtherAnswersInBatches);
+    CPPUNIT_TEST(endedSessionGetsNoAnswers);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void setUp() override
     {
         this->clock.advance(100000);
-        this->carrier.emplace(this->jobs, this->port, this->clock, [this](std::uint64_t) {
-            auto made = std::make_unique<FakeChannel>();
-            this->channel = made.get();
-            return made;
+        this->forwarder.emplace(this->jobs, this->port, this->clock, [this](std::uint64_t) {
+            auto created = std::make_unique<FakeChannel>();
+            this->channel = created.get();
+            return created;
         });
     }
 
-    void startsGetTheTextOfTheirJob()
+    void startsCarryTheirJobText()
     {
-        this->readJob();
-        this->arrive({ { 1, startOf("w1", job) } });
+        this->addJob();
+        this->receiveOrders({ { 1, startOf("w1", job) } });
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), this->channel->sent.size());
         CPPUNIT_ASSERT_EQUAL(std::string("the text"), *std::get<tasks::StartOrder>(this->channel->sent[0].call.order).text);
     }
 
     // The planner reads of a job a moment before the instance that carries its starts does.
-    void aStartWaitsUntilItsJobIsRead()
+    void startWaitsForItsJobRecord()
     {
-        this->arrive({ { 1, startOf("w1", job) } });
+        this->receiveOrders({ { 1, startOf("w1", job) } });
         this->step();
         CPPUNIT_ASSERT(this->channel->sent.empty());
-        this->readJob();
+        this->addJob();
         this->step();
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), this->channel->sent.size());
     }
 
-    void aStartOfAJobThatNobodyKnowsIsNotSent()
+    void startOfUnknownJobIsNotSent()
     {
-        this->arrive({ { 1, startOf("w1", job) } });
-        this->clock.advance(OrderCarrier::longestForText);
+        this->receiveOrders({ { 1, startOf("w1", job) } });
+        this->clock.advance(OrderForwarder::maxJobTextWait);
         this->step();
         this->expectNotSent();
     }
 
     // The connection stood still for seconds. The planner has given the start up since, and
     // its job may have been cancelled.
-    void whatLayOnTheWayIsNotSent()
+    void ordersDelayedInTransitAreNotSent()
     {
-        this->readJob();
-        const Millis sentWall = this->clock.wall();
-        this->clock.advance(OrderCarrier::longestOnTheWay + 1);
-        this->carrier->arrived({ session, term, sentWall, { { 1, startOf("w1", job) } } }, this->clock.now());
+        this->addJob();
+        const Millis sentWallTime = this->clock.wall();
+        this->clock.advance(OrderForwarder::maxTransitTime + 1);
+        this->forwarder->handleOrders({ session, term, sentWallTime, { { 1, startOf("w1", job) } } }, this->clock.now());
         this->step();
         this->expectNotSent();
     }
 
     void ordersOfAnEarlierTermAreNotSent()
     {
-        this->readJob();
-        this->carrier->claimed(term + 1);
-        this->arrive({ { 1, startOf("w1", job) } });
+        this->addJob();
+        this->forwarder->handleNewTerm(term + 1);
+        this->receiveOrders({ { 1, startOf("w1", job) } });
         CPPUNIT_ASSERT(this->channel->sent.empty());
     }
 
-    void endsAreToldAtOnceAndTheRestTogether()
+    void taskEndsAreSentAtOnceAndOtherAnswersInBatches()
     {
-        this->arrive({ { 1, pollOf("w1") }, { 2, pollOf("w2") } });
+        this->receiveOrders({ { 1, pollOf("w1") }, { 2, pollOf("w2") } });
         this->channel->sent[0].handler({ .reply = PollReply { .report = tasks::WorkerReport {} } });
         this->step();
         CPPUNIT_ASSERT(this->port.answers.empty());
-        CPPUNIT_ASSERT_EQUAL(this->clock.now() + OrderCarrier::longestHeld, this->carrier->nextWake());
+        CPPUNIT_ASSERT_EQUAL(this->clock.now() + OrderForwarder::maxAnswerDelay, this->forwarder->nextWake());
         tasks::WorkerReport ended;
         ended.ended.push_back({ 1, { { job, 0, 0, 0 }, 1 }, tasks::RunEnd::Done, "" });
         this->channel->sent[1].handler({ .reply = PollReply { .report = ended } });
@@ -99,32 +99,32 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), this->port.answers[0].answers.size());
     }
 
-    void aSessionThatEndedIsNotAnswered()
+    void endedSessionGetsNoAnswers()
     {
-        this->arrive({ { 1, pollOf("w1") } });
-        CPPUNIT_ASSERT(this->carrier->isUsed());
-        this->carrier->ended({ session });
-        CPPUNIT_ASSERT(!this->carrier->isUsed());
+        this->receiveOrders({ { 1, pollOf("w1") } });
+        CPPUNIT_ASSERT(this->forwarder->hasSessions());
+        this->forwarder->handleSessionEnded({ session });
+        CPPUNIT_ASSERT(!this->forwarder->hasSessions());
         this->step();
         CPPUNIT_ASSERT(this->port.answers.empty());
     }
 
 private:
-    void readJob()
+    void addJob()
     {
-        tasks::Job known;
-        known.id = job;
-        known.text = "the text";
-        known.steps.emplace_back();
-        this->jobs.apply(tasks::keyText({ tasks::RecordKind::Job, job }), tasks::encodeJob(known), 1, this->clock.now());
+        tasks::Job record;
+        record.id = job;
+        record.text = "the text";
+        record.steps.emplace_back();
+        this->jobs.apply(tasks::keyText({ tasks::RecordKind::Job, job }), tasks::encodeJob(record), 1, this->clock.now());
     }
 
-    void arrive(std::vector<NumberedCall> calls)
+    void receiveOrders(std::vector<NumberedCall> calls)
     {
-        this->carrier->arrived({ session, term, this->clock.wall(), std::move(calls) }, this->clock.now());
+        this->forwarder->handleOrders({ session, term, this->clock.wall(), std::move(calls) }, this->clock.now());
     }
 
-    void step() { this->carrier->step(this->clock.now()); }
+    void step() { this->forwarder->step(this->clock.now()); }
 
     void expectNotSent()
     {
@@ -137,9 +137,9 @@
     tasks::JobTable jobs;
     FakePort port;
     FakeChannel* channel { nullptr };
-    std::optional<OrderCarrier> carrier;
+    std::optional<OrderForwarder> forwarder;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(OrderCarrierTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(OrderForwarderTest);
 
 } // namespace
--- a/src/delivery/testing/relay_selector_test.cc
+++ b/src/delivery/testing/relay_selector_test.cc
@@ -11,138 +11,138 @@
 
 namespace {
 
-constexpr Strength weak { 0.12, 2 };
-constexpr Strength strong { 0.5, 200 };
+constexpr MachineCapacity smallMachine { 0.12, 2 };
+constexpr MachineCapacity largeMachine { 0.5, 200 };
 constexpr Millis begin = 1000;
 
-class RelayRosterTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(RelayRosterTest);
-    CPPUNIT_TEST(aPlannerThatCanServeAllPassesNothingOn);
-    CPPUNIT_TEST(aNarrowLinkSharesOut);
-    CPPUNIT_TEST(workersAreServedFromTheirOwnDomain);
-    CPPUNIT_TEST(aDomainWithoutRelaysIsServedByOthers);
-    CPPUNIT_TEST(strongInstancesComeFirst);
-    CPPUNIT_TEST(aLostRelayMovesOnlyItsOwnWorkers);
-    CPPUNIT_TEST(aLostRelayIsTriedAgain);
-    CPPUNIT_TEST(aSilentWorkerIsTriedBothWays);
-    CPPUNIT_TEST(offersEnd);
-    CPPUNIT_TEST(offersAsDatagrams);
+class RelaySelectorTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(RelaySelectorTest);
+    CPPUNIT_TEST(noRelaysIfPlannerServesAllWorkers);
+    CPPUNIT_TEST(relaysAreUsedIfLinkIsTooSlow);
+    CPPUNIT_TEST(workersUseRelaysOfTheirOwnDomain);
+    CPPUNIT_TEST(domainWithoutRelaysUsesThoseOfOthers);
+    CPPUNIT_TEST(largestInstancesAreUsedFirst);
+    CPPUNIT_TEST(lostRelayMovesOnlyItsOwnWorkers);
+    CPPUNIT_TEST(lostRelayIsUsedAgainLater);
+    CPPUNIT_TEST(unresponsiveWorkerIsTriedDirectlyAndThroughRelay);
+    CPPUNIT_TEST(offersExpire);
+    CPPUNIT_TEST(offersAreEncodedAndParsed);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Through a relay each start is a hop longer, for nothing.
-    void aPlannerThatCanServeAllPassesNothingOn()
+    void noRelaysIfPlannerServesAllWorkers()
     {
-        RelayRoster roster(strong);
-        this->offer(roster, 5, strong, begin);
-        roster.setWorkers(this->places(400));
-        for (const WorkerPlace& place : this->places(400))
-            CPPUNIT_ASSERT(!roster.routeOf(place.id, begin));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), roster.relays());
+        RelaySelector selector(largeMachine);
+        this->offer(selector, 5, largeMachine, begin);
+        selector.setWorkers(this->locations(400));
+        for (const WorkerLocation& location : this->locations(400))
+            CPPUNIT_ASSERT(!selector.relayFor(location.id, begin));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), selector.activeRelayCount());
     }
 
     // Polls and starts fill the planner's link, its renewals wait behind them, and it loses
     // term after term while its processor idles.
-    void aNarrowLinkSharesOut()
+    void relaysAreUsedIfLinkIsTooSlow()
     {
-        RelayRoster roster({ 0.5, 2 });
-        this->offer(roster, 15, weak, begin);
-        roster.setWorkers(this->places(120));
-        for (const WorkerPlace& place : this->places(120))
-            CPPUNIT_ASSERT(roster.routeOf(place.id, begin));
+        RelaySelector selector({ 0.5, 2 });
+        this->offer(selector, 15, smallMachine, begin);
+        selector.setWorkers(this->locations(120));
+        for (const WorkerLocation& location : this->locations(120))
+            CPPUNIT_ASSERT(selector.relayFor(location.id, begin));
     }
 
-    void workersAreServedFromTheirOwnDomain()
+    void workersUseRelaysOfTheirOwnDomain()
     {
-        RelayRoster roster(weak);
-        this->offer(roster, 15, weak, begin);
-        roster.setWorkers(this->places(120));
-        for (const WorkerPlace& place : this->places(120))
-            CPPUNIT_ASSERT_EQUAL(place.domain, this->domains.at(*roster.routeOf(place.id, begin)));
+        RelaySelector selector(smallMachine);
+        this->offer(selector, 15, smallMachine, begin);
+        selector.setWorkers(this->locations(120));
+        for (const WorkerLocation& location : this->locations(120))
+            CPPUNIT_ASSERT_EQUAL(location.domain, this->domains.at(*selector.relayFor(location.id, begin)));
     }
 
-    void aDomainWithoutRelaysIsServedByOthers()
+    void domainWithoutRelaysUsesThoseOfOthers()
     {
-        RelayRoster roster(weak);
-        this->offer(roster, 1, weak, begin);
-        roster.setWorkers(this->places(120));
-        for (const WorkerPlace& place : this->places(120))
-            CPPUNIT_ASSERT(roster.routeOf(place.id, begin) == "10.0.0.0:7000");
+        RelaySelector selector(smallMachine);
+        this->offer(selector, 1, smallMachine, begin);
+        selector.setWorkers(this->locations(120));
+        for (const WorkerLocation& location : this->locations(120))
+            CPPUNIT_ASSERT(selector.relayFor(location.id, begin) == "10.0.0.0:7000");
     }
 
-    // Each relay costs the planner a message for each batch, so few strong ones are better
-    // than many weak ones.
-    void strongInstancesComeFirst()
+    // Each relay costs the planner a message for each batch, so few large ones are better
+    // than many small ones.
+    void largestInstancesAreUsedFirst()
     {
-        RelayRoster roster(strong);
-        this->offer(roster, 100, weak, begin);
+        RelaySelector selector(largeMachine);
+        this->offer(selector, 100, smallMachine, begin);
         for (int i = 0; i < 10; ++i)
-            roster.offered({ fmt::format("strong{}", i), this->domainOf(i), strong }, begin);
-        roster.setWorkers(this->places(1100));
-        for (const WorkerPlace& place : this->places(1100))
-            CPPUNIT_ASSERT(roster.routeOf(place.id, begin)->starts_with("strong"));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(10), roster.relays());
+            selector.addOffer({ fmt::format("strong{}", i), this->domainOf(i), largeMachine }, begin);
+        selector.setWorkers(this->locations(1100));
+        for (const WorkerLocation& location : this->locations(1100))
+            CPPUNIT_ASSERT(selector.relayFor(location.id, begin)->starts_with("strong"));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(10), selector.activeRelayCount());
     }
 
-    void aLostRelayMovesOnlyItsOwnWorkers()
+    void lostRelayMovesOnlyItsOwnWorkers()
     {
-        RelayRoster roster(weak);
-        this->offer(roster, 2 * domainCount, weak, begin); // All of them are needed, so none steps in.
-        const auto before = this->routes(roster, begin);
-        const std::string lost = before.begin()->second;
-        roster.relayLost(lost, begin + 10);
-        std::size_t moved = 0;
-        for (const auto& [worker, relay] : this->routes(roster, begin + 10)) {
-            CPPUNIT_ASSERT(relay != lost);
-            if (before.at(worker) == lost)
-                ++moved;
+        RelaySelector selector(smallMachine);
+        this->offer(selector, 2 * domainCount, smallMachine, begin); // All of them are needed, so none steps in.
+        const auto before = this->routes(selector, begin);
+        const std::string lostRelay = before.begin()->second;
+        selector.markRelayLost(lostRelay, begin + 10);
+        std::size_t movedWorkers = 0;
+        for (const auto& [worker, relay] : this->routes(selector, begin + 10)) {
+            CPPUNIT_ASSERT(relay != lostRelay);
+            if (before.at(worker) == lostRelay)
+                ++movedWorkers;
             else
                 CPPUNIT_ASSERT_EQUAL(before.at(worker), relay);
         }
-        CPPUNIT_ASSERT(moved > 0);
+        CPPUNIT_ASSERT(movedWorkers > 0);
     }
 
-    void aLostRelayIsTriedAgain()
+    void lostRelayIsUsedAgainLater()
     {
-        RelayRoster roster(weak);
-        this->offer(roster, 5, weak, begin);
-        const auto before = this->routes(roster, begin);
-        roster.relayLost("10.0.0.0:7000", begin);
-        CPPUNIT_ASSERT(this->routes(roster, begin) != before);
+        RelaySelector selector(smallMachine);
+        this->offer(selector, 5, smallMachine, begin);
+        const auto before = this->routes(selector, begin);
+        selector.markRelayLost("10.0.0.0:7000", begin);
+        CPPUNIT_ASSERT(this->routes(selector, begin) != before);
         for (Millis now = begin; now <= begin + 5000; now += 1000)
-            this->offer(roster, 5, weak, now);
-        CPPUNIT_ASSERT(this->routes(roster, begin + 5000) == before);
+            this->offer(selector, 5, smallMachine, now);
+        CPPUNIT_ASSERT(this->routes(selector, begin + 5000) == before);
     }
 
     // A relay may be cut off from a worker that the planner reaches, and the other way round.
-    void aSilentWorkerIsTriedBothWays()
+    void unresponsiveWorkerIsTriedDirectlyAndThroughRelay()
     {
-        RelayRoster roster(weak);
-        this->offer(roster, 5, weak, begin);
-        roster.setWorkers(this->places(120));
-        const std::string worker = this->places(120).front().id;
-        const auto relay = roster.routeOf(worker, begin);
+        RelaySelector selector(smallMachine);
+        this->offer(selector, 5, smallMachine, begin);
+        selector.setWorkers(this->locations(120));
+        const std::string worker = this->locations(120).front().id;
+        const auto relay = selector.relayFor(worker, begin);
         CPPUNIT_ASSERT(relay);
-        roster.routeFailed(worker, begin);
-        CPPUNIT_ASSERT(!roster.routeOf(worker, begin + 10));
-        roster.routeFailed(worker, begin + 100);
-        CPPUNIT_ASSERT(roster.routeOf(worker, begin + 110) == relay);
+        selector.markRouteFailed(worker, begin);
+        CPPUNIT_ASSERT(!selector.relayFor(worker, begin + 10));
+        selector.markRouteFailed(worker, begin + 100);
+        CPPUNIT_ASSERT(selector.relayFor(worker, begin + 110) == relay);
     }
 
-    void offersEnd()
+    void offersExpire()
     {
-        RelayRoster roster(weak);
-        this->offer(roster, 5, weak, begin);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(120), this->routes(roster, begin).size());
-        CPPUNIT_ASSERT(this->routes(roster, begin + 60000).empty());
+        RelaySelector selector(smallMachine);
+        this->offer(selector, 5, smallMachine, begin);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(120), this->routes(selector, begin).size());
+        CPPUNIT_ASSERT(this->routes(selector, begin + 60000).empty());
     }
 
-    void offersAsDatagrams()
+    void offersAreEncodedAndParsed()
     {
         const auto offer = parseOffer("10.0.0.1:7000", encodeOffer({ "", "here", { 0.125, 20 } }));
         CPPUNIT_ASSERT(offer && offer->peer == "10.0.0.1:7000" && offer->domain == "here");
-        CPPUNIT_ASSERT_EQUAL(0.125, offer->strength.cores);
-        CPPUNIT_ASSERT_EQUAL(20.0, offer->strength.megabits);
+        CPPUNIT_ASSERT_EQUAL(0.125, offer->capacity.cores);
+        CPPUNIT_ASSERT_EQUAL(20.0, offer->capacity.megabitsPerSecond);
         for (const char* text : { "", "relay", "relay 1 2", "relay x 2 here", "relay 0 2 here", "beat 7", "relay nan 2 here" })
             CPPUNIT_ASSERT(!parseOffer("10.0.0.1:7000", text));
     }
@@ -152,31 +152,31 @@
 
     std::string domainOf(int number) const { return fmt::format("domain-{}", number % domainCount); }
 
-    std::vector<WorkerPlace> places(int count) const
+    std::vector<WorkerLocation> locations(int count) const
     {
-        std::vector<WorkerPlace> found;
+        std::vector<WorkerLocation> found;
         found.reserve(static_cast<std::size_t>(count));
         for (int i = 0; i < count; ++i)
             found.push_back({ fmt::format("w{}", i), this->domainOf(i) });
         return found;
     }
 
-    void offer(RelayRoster& roster, int count, const Strength& strength, Millis now)
+    void offer(RelaySelector& selector, int count, const MachineCapacity& capacity, Millis now)
     {
         for (int i = 0; i < count; ++i) {
             const std::string peer = fmt::format("10.0.0.{}:7000", i);
             this->domains[peer] = this->domainOf(i);
-            roster.offered({ peer, this->domainOf(i), strength }, now);
+            selector.addOffer({ peer, this->domainOf(i), capacity }, now);
         }
     }
 
-    std::map<std::string, std::string> routes(RelayRoster& roster, Millis now) const
+    std::map<std::string, std::string> routes(RelaySelector& selector, Millis now) const
     {
-        roster.setWorkers(this->places(120));
+        selector.setWorkers(this->locations(120));
         std::map<std::string, std::string> found;
-        for (const WorkerPlace& place : this->places(120)) {
-            if (const auto relay = roster.routeOf(place.id, now))
-                found.emplace(place.id, *relay);
+        for (const WorkerLocation& location : this->locations(120)) {
+            if (const auto relay = selector.relayFor(location.id, now))
+                found.emplace(location.id, *relay);
         }
         return found;
     }
@@ -184,6 +184,6 @@
     std::map<std::string, std::string> domains; // By peer.
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RelayRosterTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RelaySelectorTest);
 
 } // namespace
--- a/src/delivery/testing/relayed_channel_test.cc
+++ b/src/delivery/testing/relayed_channel_test.cc
@@ -14,15 +14,15 @@
 
 namespace {
 
-constexpr Strength weak { 0.12, 2 };
+constexpr MachineCapacity smallMachine { 0.12, 2 };
 constexpr std::int64_t term = 7;
 constexpr int workerCount = 120;
 const std::string relay = "10.0.0.1:7000";
 
 // A machine's link: bytes leave one after the other, and what comes later waits.
-class Link final : public WorkerChannel, public DeliveryPort {
+class SimulatedLink final : public WorkerChannel, public DeliveryPort {
 public:
-    Link(const Clock& clock, double bytesPerMilli)
+    SimulatedLink(const Clock& clock, double bytesPerMilli)
         : clock(clock)
         , bytesPerMilli(bytesPerMilli)
     {
@@ -34,7 +34,7 @@
         constexpr std::size_t headers = 190;
         constexpr std::size_t startBody = 90;
         const auto* start = std::get_if<tasks::StartOrder>(&call.order);
-        this->put(headers + (start ? startBody + start->text->size() : 0), 3);
+        this->transmit(headers + (start ? startBody + start->text->size() : 0), 3);
     }
 
     // Through another instance: a message of the session.
@@ -47,16 +47,16 @@
         auto rows = params.initOrders(static_cast<unsigned>(batch.calls.size()));
         for (unsigned i = 0; i < rows.size(); ++i)
             this->codecs[batch.peer].encode(batch.calls[i], rows[i]);
-        this->put(rpcBytes + message.sizeInWords() * wordBytes, 2);
+        this->transmit(rpcBytes + message.sizeInWords() * wordBytes, 2);
         return true;
     }
     bool answer(AnswerBatch) override { return true; }
-    void keepOnly(std::int64_t) override { }
+    void closeOtherTerms(std::int64_t) override { }
 
     Millis backlog() const { return static_cast<Millis>(std::max(this->freeAt - static_cast<double>(this->clock.now()), 0.0)); }
 
 private:
-    void put(std::size_t bytes, std::size_t packets)
+    void transmit(std::size_t bytes, std::size_t packets)
     {
         constexpr std::size_t packetBytes = 66;
         this->freeAt = std::max(this->freeAt, static_cast<double>(this->clock.now())) + static_cast<double>(bytes + packets * packetBytes) / this->bytesPerMilli;
@@ -70,61 +70,61 @@
 
 class RelayedChannelTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(RelayedChannelTest);
-    CPPUNIT_TEST(renewalsOfTheTermAreNotHeldUpByOrders);
-    CPPUNIT_TEST(startsTakePollsAlong);
-    CPPUNIT_TEST(withoutARelayOrdersGoOutFromHere);
-    CPPUNIT_TEST(whatALostRelayWasGivenHasNoAnswer);
-    CPPUNIT_TEST(whatDoesNotFitIsNotSent);
-    CPPUNIT_TEST(aRelayThatNeverAnswersEndsNoOrderTwice);
-    CPPUNIT_TEST(answersOfAnotherTermSayNothing);
+    CPPUNIT_TEST(ordersDoNotDelayTermRenewal);
+    CPPUNIT_TEST(startsFlushWaitingPolls);
+    CPPUNIT_TEST(ordersAreSentDirectlyWithoutRelay);
+    CPPUNIT_TEST(lostRelayLeavesSentOrdersUnanswered);
+    CPPUNIT_TEST(ordersAreNotSentIfPortIsFull);
+    CPPUNIT_TEST(lateAnswerDoesNotCompleteAnOrderTwice);
+    CPPUNIT_TEST(answersOfAnotherTermAreIgnored);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void setUp() override
     {
         this->clock.advance(begin);
-        this->roster.emplace(weak);
+        this->selector.emplace(smallMachine);
         this->offer();
-        std::vector<WorkerPlace> places;
-        places.reserve(workerCount);
+        std::vector<WorkerLocation> locations;
+        locations.reserve(workerCount);
         for (int i = 0; i < workerCount; ++i)
-            places.push_back({ fmt::format("w{}", i), "here" });
-        this->roster->setWorkers(places);
-        this->channel.emplace(term, *this->roster, this->direct, this->port, this->clock);
+            locations.push_back({ fmt::format("w{}", i), "here" });
+        this->selector->setWorkers(locations);
+        this->channel.emplace(term, *this->selector, this->direct, this->port, this->clock);
     }
 
     // Guards against a planner whose polls and starts fill its link, so that the renewal of
     // its term waits behind them for longer than the term lasts.
-    void renewalsOfTheTermAreNotHeldUpByOrders()
+    void ordersDoNotDelayTermRenewal()
     {
         constexpr double bytesPerMilli = 250;
         constexpr Millis step = 5;
-        constexpr Millis day = 10000;
-        constexpr int membersOfAGang = 8;
+        constexpr Millis duration = 10000;
+        constexpr int gangSize = 8;
         constexpr std::size_t textBytes = 1300;
-        constexpr Millis halfATerm = 500;
-        Link link(this->clock, bytesPerMilli);
-        RelayedChannel busy(term, *this->roster, link, link, this->clock);
-        Millis longest = 0;
+        constexpr Millis halfTerm = 500;
+        SimulatedLink link(this->clock, bytesPerMilli);
+        RelayedChannel busy(term, *this->selector, link, link, this->clock);
+        Millis maxBacklog = 0;
         int worker = 0;
         const auto next = [&] { return fmt::format("w{}", worker++ % workerCount); };
-        for (Millis passed = 0; passed < day; passed += step) {
+        for (Millis passed = 0; passed < duration; passed += step) {
             this->clock.advance(step);
             this->offer();
             if (passed % (step * 11) == 0) {
-                for (int member = 0; member < membersOfAGang; ++member)
+                for (int member = 0; member < gangSize; ++member)
                     busy.send(startOf(next(), fmt::format("{:016x}", passed), textBytes), [](const WorkerAnswer&) {});
             }
             busy.send(pollOf(next()), [](const WorkerAnswer&) {});
             if (passed % (step * 2) == 0)
                 busy.send(pollOf(next()), [](const WorkerAnswer&) {});
             busy.step(this->clock.now());
-            longest = std::max(longest, link.backlog());
+            maxBacklog = std::max(maxBacklog, link.backlog());
         }
-        CPPUNIT_ASSERT_LESS(halfATerm, longest);
+        CPPUNIT_ASSERT_LESS(halfTerm, maxBacklog);
     }
 
-    void startsTakePollsAlong()
+    void startsFlushWaitingPolls()
     {
         this->sendTo("w1", pollOf("w1"));
         this->channel->step(this->clock.now());
@@ -134,35 +134,35 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), this->port.orders.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), this->port.orders[0].calls.size());
         this->sendTo("w1", pollOf("w1"));
-        this->clock.advance(RelayedChannel::longestHeld);
+        this->clock.advance(RelayedChannel::maxPollDelay);
         CPPUNIT_ASSERT(this->channel->nextWake() <= this->clock.now());
         this->channel->step(this->clock.now());
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), this->port.orders.size());
     }
 
-    void withoutARelayOrdersGoOutFromHere()
+    void ordersAreSentDirectlyWithoutRelay()
     {
-        this->channel->lost({ relay, term, "closed" }, this->clock.now());
+        this->channel->handlePeerLost({ relay, term, "closed" }, this->clock.now());
         this->sendTo("w1", pollOf("w1"));
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), this->direct.sent.size());
         this->direct.sent[0].handler({ .reply = StopReply { true, false, std::nullopt } });
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), this->heard.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), this->answers.size());
     }
 
     // A relay is killed. A start that it was given may run, one that it was not given
     // surely does not, and may be placed elsewhere at once.
-    void whatALostRelayWasGivenHasNoAnswer()
+    void lostRelayLeavesSentOrdersUnanswered()
     {
         this->sendTo("w1", startOf("w1", "job"));
         this->channel->step(this->clock.now());
         this->sendTo("w2", startOf("w2", "job"));
-        this->channel->lost({ relay, term, "closed" }, this->clock.now());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), this->heard.size());
+        this->channel->handlePeerLost({ relay, term, "closed" }, this->clock.now());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), this->answers.size());
         CPPUNIT_ASSERT(this->startAnswer("w1") == tasks::StartAnswer::NoAnswer);
         CPPUNIT_ASSERT(this->startAnswer("w2") == tasks::StartAnswer::NotSent);
     }
 
-    void whatDoesNotFitIsNotSent()
+    void ordersAreNotSentIfPortIsFull()
     {
         this->port.isFull = true;
         this->sendTo("w1", startOf("w1", "job"));
@@ -170,7 +170,7 @@
         CPPUNIT_ASSERT(this->startAnswer("w1") == tasks::StartAnswer::NotSent);
     }
 
-    void aRelayThatNeverAnswersEndsNoOrderTwice()
+    void lateAnswerDoesNotCompleteAnOrderTwice()
     {
         this->sendTo("w1", startOf("w1", "job"));
         this->channel->step(this->clock.now());
@@ -178,45 +178,45 @@
         this->clock.advance(5000);
         this->channel->step(this->clock.now());
         CPPUNIT_ASSERT(this->startAnswer("w1") == tasks::StartAnswer::NoAnswer);
-        this->channel->arrived({ relay, term, { { id, "w1", { .reply = StartReply { tasks::StartAnswer::Started, 5 } } } } }, this->clock.now());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), this->heard.size());
+        this->channel->handleAnswers({ relay, term, { { id, "w1", { .reply = StartReply { tasks::StartAnswer::Started, 5 } } } } }, this->clock.now());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), this->answers.size());
     }
 
-    void answersOfAnotherTermSayNothing()
+    void answersOfAnotherTermAreIgnored()
     {
         this->sendTo("w1", startOf("w1", "job"));
         this->channel->step(this->clock.now());
         const std::uint32_t id = this->port.orders[0].calls[0].id;
         const NumberedAnswer started { id, "w1", { .reply = StartReply { tasks::StartAnswer::Started, 5 } } };
-        this->channel->arrived({ relay, term - 1, { started } }, this->clock.now());
-        CPPUNIT_ASSERT(this->heard.empty());
-        this->channel->arrived({ relay, term, { started } }, this->clock.now());
+        this->channel->handleAnswers({ relay, term - 1, { started } }, this->clock.now());
+        CPPUNIT_ASSERT(this->answers.empty());
+        this->channel->handleAnswers({ relay, term, { started } }, this->clock.now());
         CPPUNIT_ASSERT(this->startAnswer("w1") == tasks::StartAnswer::Started);
     }
 
 private:
     static constexpr Millis begin = 100000;
 
-    void offer() { this->roster->offered({ relay, "here", { 0.5, 200 } }, this->clock.now()); }
+    void offer() { this->selector->addOffer({ relay, "here", { 0.5, 200 } }, this->clock.now()); }
 
     void sendTo(const std::string& worker, const WorkerCall& call)
     {
-        this->channel->send(call, [this, worker](const WorkerAnswer& answer) { this->heard.emplace_back(worker, answer); });
+        this->channel->send(call, [this, worker](const WorkerAnswer& answer) { this->answers.emplace_back(worker, answer); });
     }
 
     tasks::StartAnswer startAnswer(const std::string& worker) const
     {
-        const auto found = std::find_if(this->heard.begin(), this->heard.end(), [&](const auto& row) { return row.first == worker; });
-        CPPUNIT_ASSERT(found != this->heard.end());
+        const auto found = std::find_if(this->answers.begin(), this->answers.end(), [&](const auto& row) { return row.first == worker; });
+        CPPUNIT_ASSERT(found != this->answers.end());
         return std::get<StartReply>(found->second.reply).answer;
     }
 
     ManualClock clock;
     FakeChannel direct;
     FakePort port;
-    std::optional<RelayRoster> roster;
+    std::optional<RelaySelector> selector;
     std::optional<RelayedChannel> channel;
-    std::vector<std::pair<std::string, WorkerAnswer>> heard;
+    std::vector<std::pair<std::string, WorkerAnswer>> answers;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(RelayedChannelTest);
--- a/src/delivery/testing/report_delta_test.cc
+++ b/src/delivery/testing/report_delta_test.cc
@@ -12,7 +12,7 @@
 
 RunRef runOf(const std::string& job, std::int64_t index) { return { { job, 0, 0, index }, 1 }; }
 
-bool isSame(WorkerReport a, WorkerReport b)
+bool isEqual(WorkerReport a, WorkerReport b)
 {
     const auto byRun = [](const RunningTask& x, const RunningTask& y) { return x.run < y.run; };
     std::sort(a.running.begin(), a.running.end(), byRun);
@@ -25,15 +25,15 @@
 
 class ReportDeltaTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(ReportDeltaTest);
-    CPPUNIT_TEST(anySequenceOfReportsArrivesAsItWas);
-    CPPUNIT_TEST(whatStandsStillIsNotTold);
-    CPPUNIT_TEST(aLaterIncarnationBeginsAnew);
-    CPPUNIT_TEST(nothingIsMadeOfADeltaWithoutItsBase);
+    CPPUNIT_TEST(anySequenceOfReportsIsDecodedUnchanged);
+    CPPUNIT_TEST(unchangedRunsAreOmitted);
+    CPPUNIT_TEST(newIncarnationSendsASnapshot);
+    CPPUNIT_TEST(deltaWithoutBaseIsRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // A run that is missing from a report counts as gone, and is started a second time.
-    void anySequenceOfReportsArrivesAsItWas()
+    void anySequenceOfReportsIsDecodedUnchanged()
     {
         std::mt19937 random(7);
         for (int sequence = 0; sequence < 50; ++sequence) {
@@ -41,15 +41,15 @@
             ReportDecoder decoder;
             WorkerReport report { .clock = 1, .born = 5, .running = {}, .ended = {} };
             for (int round = 0; round < 60; ++round) {
-                this->change(report, random);
-                const auto same = decoder.decode("w", encoder.encode("w", report));
-                CPPUNIT_ASSERT(same.has_value());
-                CPPUNIT_ASSERT(isSame(report, *same));
+                this->mutate(report, random);
+                const auto decoded = decoder.decode("w", encoder.encode("w", report));
+                CPPUNIT_ASSERT(decoded.has_value());
+                CPPUNIT_ASSERT(isEqual(report, *decoded));
             }
         }
     }
 
-    void whatStandsStillIsNotTold()
+    void unchangedRunsAreOmitted()
     {
         ReportEncoder encoder;
         WorkerReport report { .clock = 1, .born = 5, .running = { { runOf("a", 0), "", 10 }, { runOf("a", 1), "c1", 20 } }, .ended = {} };
@@ -57,12 +57,12 @@
         report.running[1].percent = 30;
         const ReportDelta delta = encoder.encode("w", report);
         CPPUNIT_ASSERT(delta.added.empty() && delta.removed.empty());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), delta.moved.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), delta.moved[0].place);
-        CPPUNIT_ASSERT(!delta.moved[0].checkpoint);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), delta.changed.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), delta.changed[0].position);
+        CPPUNIT_ASSERT(!delta.changed[0].checkpoint);
     }
 
-    void aLaterIncarnationBeginsAnew()
+    void newIncarnationSendsASnapshot()
     {
         ReportEncoder encoder;
         ReportDecoder decoder;
@@ -70,20 +70,20 @@
         decoder.decode("w", encoder.encode("w", report));
         report.born = 6;
         const ReportDelta delta = encoder.encode("w", report);
-        CPPUNIT_ASSERT(delta.whole);
-        CPPUNIT_ASSERT(isSame(report, *decoder.decode("w", delta)));
+        CPPUNIT_ASSERT(delta.isSnapshot);
+        CPPUNIT_ASSERT(isEqual(report, *decoder.decode("w", delta)));
     }
 
-    void nothingIsMadeOfADeltaWithoutItsBase()
+    void deltaWithoutBaseIsRejected()
     {
         ReportDecoder decoder;
-        CPPUNIT_ASSERT(!decoder.decode("w", { .clock = 1, .born = 5, .whole = false }));
-        CPPUNIT_ASSERT(decoder.decode("w", { .clock = 1, .born = 5, .whole = true }));
-        CPPUNIT_ASSERT(!decoder.decode("w", { .clock = 1, .born = 5, .whole = false, .moved = {}, .removed = { 3 } }));
+        CPPUNIT_ASSERT(!decoder.decode("w", { .clock = 1, .born = 5, .isSnapshot = false }));
+        CPPUNIT_ASSERT(decoder.decode("w", { .clock = 1, .born = 5, .isSnapshot = true }));
+        CPPUNIT_ASSERT(!decoder.decode("w", { .clock = 1, .born = 5, .isSnapshot = false, .changed = {}, .removed = { 3 } }));
     }
 
 private:
-    void change(WorkerReport& report, std::mt19937& random)
+    void mutate(WorkerReport& report, std::mt19937& random)
     {
         ++report.clock;
         if (random() % 20 == 0)
--- a/src/delivery/worker_call.cc
+++ b/src/delivery/worker_call.cc
@@ -10,12 +10,12 @@
     if (const auto* start = std::get_if<StartReply>(&answer.reply))
         return start->answer != StartAnswer::NoAnswer && start->answer != StartAnswer::NotSent;
     if (const auto* stop = std::get_if<StopReply>(&answer.reply))
-        return stop->taken || stop->deposed;
+        return stop->stopped || stop->deposed;
     const auto& poll = std::get<PollReply>(answer.reply);
     return poll.report || poll.fault == WorkerFault::Deposed || poll.fault == WorkerFault::OtherIncarnation;
 }
 
-WorkerAnswer notSent(const WorkerCall& call)
+WorkerAnswer notSentAnswer(const WorkerCall& call)
 {
     if (std::holds_alternative<tasks::StartOrder>(call.order))
         return { .reply = StartReply { .answer = StartAnswer::NotSent, .clock = std::nullopt } };
@@ -24,7 +24,7 @@
     return { .reply = PollReply { .report = std::nullopt, .fault = WorkerFault::NotSent } };
 }
 
-WorkerAnswer withoutAnswer(const WorkerCall& call)
+WorkerAnswer missingAnswer(const WorkerCall& call)
 {
     if (std::holds_alternative<tasks::StartOrder>(call.order))
         return { .reply = StartReply {} };
--- a/src/delivery/worker_call.h
+++ b/src/delivery/worker_call.h
@@ -38,7 +38,7 @@
 bool wasAnswered(const WorkerAnswer&);
 
 // The answer to an order that surely was not sent, and to one of which nothing is known.
-WorkerAnswer notSent(const WorkerCall&);
-WorkerAnswer withoutAnswer(const WorkerCall&);
+WorkerAnswer notSentAnswer(const WorkerCall&);
+WorkerAnswer missingAnswer(const WorkerCall&);
 
 } // namespace rattan::delivery
--- a/src/delivery/worker_protocol.h
+++ b/src/delivery/worker_protocol.h
@@ -16,7 +16,7 @@
 };
 
 struct StopReply {
-    bool taken { false }; // The run has ended or will not begin any more.
+    bool stopped { false }; // The run has ended or will not begin any more.
     bool deposed { false };
     std::optional<Millis> clock;
 };
--- a/src/instance/control_loop.cc
+++ b/src/instance/control_loop.cc
@@ -141,7 +141,7 @@
     this->takeCommands(now, wall);
     this->configurationReader.step(now);
     // Whoever carries starts needs the text of their jobs as soon as the planner has it.
-    this->jobsReader.hurry(this->leadership || this->carrier.isUsed() || this->gateway.awaitsEnd());
+    this->jobsReader.hurry(this->leadership || this->carrier.hasSessions() || this->gateway.awaitsEnd());
     this->jobsReader.step(now);
     this->claimsReader.step(now);
     if (this->gateway.wantsRead() || (this->leadership && this->leadership->wantsRead()))
--- a/src/instance/control_loop.h
+++ b/src/instance/control_loop.h
@@ -105,9 +105,9 @@
     void offerRelay(Millis now);
     void takeDeliveries(Millis now);
     std::unique_ptr<delivery::WorkerChannel> channelFor(std::uint64_t session);
-    void delivered(const delivery::OrdersArrived& orders, Millis now) { this->carrier.arrived(orders, now); }
-    void delivered(const delivery::SessionEnded& session, Millis) { this->carrier.ended(session); }
-    void delivered(const delivery::AnswersArrived&, Millis now);
+    void delivered(const delivery::OrdersReceived& orders, Millis now) { this->carrier.handleOrders(orders, now); }
+    void delivered(const delivery::SessionEnded& session, Millis) { this->carrier.handleSessionEnded(session); }
+    void delivered(const delivery::AnswersReceived&, Millis now);
     void delivered(const delivery::PeerLost&, Millis now);
     std::string peerOf(const std::string& holder) const;
     void lead(Millis now, Millis wall);
@@ -136,8 +136,8 @@
     PlannerWatch plannerWatch;
     DatagramSocket peerSocket;
     delivery::DeliveryThread deliveries;
-    delivery::OrderCarrier carrier;
-    delivery::RelayRoster roster;
+    delivery::OrderForwarder carrier;
+    delivery::RelaySelector roster;
     Millis offerAt { 0 };
     bool deliveriesFailed { false };
     std::unique_ptr<Leadership> leadership;
--- a/src/instance/control_loop_delivery.cc
+++ b/src/instance/control_loop_delivery.cc
@@ -38,7 +38,7 @@
     this->offerRelay(now);
 }
 
-void ControlLoop::delivered(const delivery::AnswersArrived& answers, Millis now)
+void ControlLoop::delivered(const delivery::AnswersReceived& answers, Millis now)
 {
     if (this->leadership)
         this->leadership->answersArrived(answers, now);
@@ -60,7 +60,7 @@
     if (planner.empty())
         return;
     this->offerAt = now + offerEvery;
-    const delivery::RelayOffer offer { .peer = {}, .domain = this->settings.domain, .strength = { this->settings.processorShare, this->settings.linkMegabits } };
+    const delivery::RelayOffer offer { .peer = {}, .domain = this->settings.domain, .capacity = { this->settings.processorShare, this->settings.linkMegabits } };
     this->peerSocket.send(planner, delivery::encodeOffer(offer));
 }
 
--- a/src/instance/control_loop_streams.cc
+++ b/src/instance/control_loop_streams.cc
@@ -67,7 +67,7 @@
         logEvent(events::recordUnreadable, { { "stream", "claims" }, { "key", record.key }, { "why", claim.error.message } });
         return;
     }
-    this->carrier.claimed(claim.value->term);
+    this->carrier.handleNewTerm(claim.value->term);
     if (claim.value->holder != this->election.newestClaim().holder) {
         this->offerAt = 0; // The planner that follows needs helpers at once.
         logEvent(events::leadSeen, { { "term", claim.value->term }, { "holder", claim.value->holder } });
--- a/src/instance/control_loop_term.cc
+++ b/src/instance/control_loop_term.cc
@@ -69,7 +69,7 @@
 {
     while (const auto datagram = this->peerSocket.receive()) {
         if (const auto offer = delivery::parseOffer(datagram->from, datagram->text))
-            this->roster.offered(*offer, now);
+            this->roster.addOffer(*offer, now);
         else
             this->plannerWatch.received(datagram->from, datagram->text, now);
     }
--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -204,7 +204,7 @@
 {
     this->listChanged = false;
     std::vector<tasks::WorkerSighting> seen;
-    std::vector<delivery::WorkerPlace> places;
+    std::vector<delivery::WorkerLocation> places;
     for (const auto& [id, sighting] : this->sightings) {
         seen.push_back(sighting);
         places.push_back({ id, sighting.domain });
@@ -226,8 +226,8 @@
 {
     if (peer.term != this->number)
         return;
-    logEvent(events::relayLost, { { "peer", peer.peer }, { "term", peer.term }, { "why", peer.why } });
-    this->channel.lost(peer, now);
+    logEvent(events::relayLost, { { "peer", peer.peer }, { "term", peer.term }, { "why", peer.reason } });
+    this->channel.handlePeerLost(peer, now);
 }
 
 // A few at a time, so that the records of a busy hour do not go out in one append.
@@ -323,12 +323,12 @@
         this->observeOrder("stop", sentAt, now);
         if (reply.clock)
             this->clocks.heard(order.worker, *reply.clock, now);
-        this->services.metrics.count("rattan_orders_total", { { "order", "stop" }, { "outcome", reply.taken ? "taken" : "not_taken" } });
-        if (!reply.taken)
+        this->services.metrics.count("rattan_orders_total", { { "order", "stop" }, { "outcome", reply.stopped ? "taken" : "not_taken" } });
+        if (!reply.stopped)
             logEvent(events::orderRefused, { { "order", "stop" }, { "run", runText(order.run) }, { "worker", order.worker.id }, { "status", answer.status } });
         if (reply.deposed)
             this->isLost = true;
-        this->planner->stopAnswered(order.worker, order.run, reply.taken, now);
+        this->planner->stopAnswered(order.worker, order.run, reply.stopped, now);
     });
 }
 
--- a/src/instance/leadership.h
+++ b/src/instance/leadership.h
@@ -35,7 +35,7 @@
     http::AsyncClient& client;
     const StoreProtocol& store;
     const delivery::WorkerProtocol& workers;
-    delivery::RelayRoster& roster;
+    delivery::RelaySelector& roster;
     delivery::DeliveryPort& port;
     const Clock& clock;
     const tasks::Election& election; // Asked again before each order.
@@ -70,7 +70,7 @@
     bool planning() const { return this->planner != nullptr; }
 
     // What instances tell that carry orders for this one.
-    void answersArrived(const delivery::AnswersArrived& answers, Millis now) { this->channel.arrived(answers, now); }
+    void answersArrived(const delivery::AnswersReceived& answers, Millis now) { this->channel.handleAnswers(answers, now); }
     void peerLost(const delivery::PeerLost&, Millis now);
 
     // What is read of the list of workers.
