--- a/src/delivery/delivery_codec.h
+++ b/src/delivery/delivery_codec.h
@@ -1,17 +1,19 @@
 #pragma once
 
-// Orders and answers as they pass between two instances, for each side of one session.
+// Encodes and decodes orders and answers exchanged between two instances, one codec
+// object for each side of a session.
 //
-//     PlannerCodec planner;                        // here
+//     PlannerCodec planner;                      // at the instance that plans
 //     planner.encode(numberedCall, builder);
-//     auto answer = planner.decode(reader);        // empty: nothing that can be relied on
+//     auto answer = planner.decode(reader);      // empty if the answer cannot be used
 //
-//     RelayCodec relay;                        // at the instance that carries them out
+//     RelayCodec relay;                          // at the instance that executes the orders
 //     auto numberedCall = relay.decode(reader);
 //     relay.encode(answer, builder);
 //
-// A session numbers the workers, and tells what has changed in a report only: so both
-// sides must see every message of the session once, in order. Not thread-safe.
+// A session identifies workers by numbers that it assigns, and sends only the differences
+// between successive reports of a worker. Both sides must therefore process every message
+// of the session exactly once, in order. Not thread-safe.
 
 #include "delivery/delivery.capnp.h"
 #include "delivery/delivery_port.h"
--- a/src/delivery/delivery_port.h
+++ b/src/delivery/delivery_port.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What passes between instances that carry orders for one another, and the port
-// through which it does. Implemented by DeliveryThread.
+// Messages between an instance that plans and the instances that execute orders for it
+// (relays), and the port that sends and receives them. Implemented by DeliveryThread.
 
 #include "base/clock.h"
 #include "delivery/worker_call.h"
@@ -14,31 +14,32 @@
 namespace rattan::delivery {
 
 struct NumberedCall {
-    std::uint32_t id { 0 }; // Of the sender's; its answer carries the same.
+    std::uint32_t id { 0 }; // Assigned by the sender; the answer to the call has the same id.
     WorkerCall call;
 };
 
 struct NumberedAnswer {
     std::uint32_t id { 0 };
-    std::string worker; // Id.
+    std::string worker; // The worker's id.
     WorkerAnswer answer;
 };
 
-// To another instance. All batches of a term to one peer go through one session, in order.
+// Orders for another instance to execute. All batches of a term to one peer are sent through
+// one session, in order.
 struct OrderBatch {
     std::string peer;
     std::int64_t term { 0 };
-    Millis sentWallTime { 0 }; // Time of day.
+    Millis sentWallTime { 0 }; // In milliseconds since 1970 UTC.
     std::vector<NumberedCall> calls;
 };
 
-// To whoever opened the session.
+// Answers to the instance that opened the session.
 struct AnswerBatch {
     std::uint64_t session { 0 };
     std::vector<NumberedAnswer> answers;
 };
 
-// Another instance wants these carried out.
+// Another instance has sent these orders to be executed here.
 struct OrdersReceived {
     std::uint64_t session { 0 };
     std::int64_t term { 0 };
@@ -46,7 +47,7 @@
     std::vector<NumberedCall> calls;
 };
 
-// Whoever opened the session is gone, or takes no answers any more.
+// The instance that opened the session has disconnected or does not accept answers any more.
 struct SessionEnded {
     std::uint64_t session { 0 };
 };
@@ -57,8 +58,8 @@
     std::vector<NumberedAnswer> answers;
 };
 
-// The peer cannot be reached, or does not take batches any more. Nothing is known of what
-// it was sent and has not answered.
+// The peer cannot be reached or does not accept batches any more. Whether unanswered orders
+// sent to it were executed is unknown.
 struct PeerLost {
     std::string peer;
     std::int64_t term { 0 };
@@ -71,11 +72,11 @@
 public:
     virtual ~DeliveryPort() = default;
 
-    // False where too much waits already; nothing has been sent then.
+    // Return false, without sending anything, if too many messages are queued already.
     virtual bool send(OrderBatch) = 0;
     virtual bool answer(AnswerBatch) = 0;
 
-    // Ends all sessions to others but those of this term.
+    // Closes the sessions to other instances that belong to any other term.
     virtual void closeOtherTerms(std::int64_t term) = 0;
 };
 
--- a/src/delivery/delivery_thread.cc
+++ b/src/delivery/delivery_thread.cc
@@ -1,8 +1,8 @@
-// One kj event loop serves the other instances that plan through this one, and keeps the
-// sessions through which this one plans. A session lives on one connection; whatever is
-// wrong with it ends it, and both sides begin anew, since the codec of a session relies on
-// every message. What ends a session runs later in the loop and not in the promise that
-// found out, which would destroy itself.
+// One kj event loop serves the instances that send their orders here, and maintains the
+// sessions through which this instance sends its own. A session lives on one connection. Any
+// error ends it and both sides start a new one, because the codec of a session relies on
+// every message. A session is ended later in the loop and not in the promise that detected
+// the error, since that promise would destroy itself.
 
 #include "delivery/delivery_thread.h"
 
@@ -24,28 +24,28 @@
     constexpr std::size_t maxCommands = 8192;
     constexpr std::size_t maxEvents = 8192;
 
-    // A peer that has not acknowledged a batch by then is cut off, frozen or overloaded; its
-    // workers are better served through another.
+    // A peer that does not acknowledge a batch within this time is disconnected, frozen or
+    // overloaded; its workers are better served through another one.
     constexpr auto batchTimeout = 500 * kj::MILLISECONDS;
     constexpr auto connectTimeout = 400 * kj::MILLISECONDS;
 
-    constexpr int maxUnacknowledgedBatches = 400; // Batches of answers on their way through one session.
+    constexpr int maxUnacknowledgedBatches = 400; // Batches of answers in flight in one session.
 
 } // namespace
 
 struct DeliveryThread::EventLoop final : public kj::TaskSet::ErrorHandler {
-    // Through which this instance plans.
+    // A session through which this instance sends orders as the planner.
     struct OutgoingSession {
         std::uint64_t number { 0 };
         std::int64_t term { 0 };
-        std::vector<OrderBatch> unsent; // Until the connection stands.
+        std::vector<OrderBatch> unsent; // Batches to send once the connection is established.
         kj::Own<kj::AsyncIoStream> stream;
         kj::Own<capnp::TwoPartyClient> client;
         kj::Maybe<wire::Session::Client> session;
         PlannerCodec codec;
     };
 
-    // Through which another instance plans.
+    // A session through which another instance sends orders as the planner.
     struct IncomingSession {
         explicit IncomingSession(wire::AnswerSink::Client sink)
             : sink(kj::mv(sink))
@@ -127,7 +127,8 @@
     {
     }
 
-    // The connections of peers go with the server, before what their services refer to.
+    // The server closes the connections of peers when it is destroyed. It is declared after the
+    // sessions that their services refer to, and is therefore destroyed before them.
     unsigned listen()
     {
         this->server = kj::heap<capnp::TwoPartyServer>(capnp::Capability::Client(kj::heap<CarrierService>(*this)));
@@ -296,7 +297,7 @@
             this->owner.wakeOwner();
     }
 
-    void taskFailed(kj::Exception&&) override { } // Each task tells its own failures.
+    void taskFailed(kj::Exception&&) override { } // Each task reports its own failures.
 
     DeliveryThread& owner;
     kj::AsyncIoContext io;
@@ -343,7 +344,7 @@
     this->events.close();
     if (this->thread.joinable()) {
         const std::uint64_t one = 1;
-        static_cast<void>(write(this->wakeFd, &one, sizeof(one))); // Fails only if it has been woken already.
+        static_cast<void>(write(this->wakeFd, &one, sizeof(one))); // Fails only if a wake-up is pending already.
         this->thread.join();
     }
     if (this->wakeFd >= 0)
@@ -372,7 +373,7 @@
     if (!this->thread.joinable() || this->failed || !this->commands.tryPush(std::move(command)))
         return false;
     const std::uint64_t one = 1;
-    static_cast<void>(write(this->wakeFd, &one, sizeof(one))); // Fails only if it has been woken already.
+    static_cast<void>(write(this->wakeFd, &one, sizeof(one))); // Fails only if a wake-up is pending already.
     return true;
 }
 
--- a/src/delivery/delivery_thread.h
+++ b/src/delivery/delivery_thread.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Carries orders and answers between instances by Cap'n Proto RPC, on a thread of its own.
+// Exchanges orders and answers between instances by Cap'n Proto RPC, on a thread of its own.
 //
 //     DeliveryThread delivery("10.1.0.7:7000", [&] { client.wake(); });
 //     if (auto error = attemptVoid([&] { return delivery.start(); })) ...
@@ -8,9 +8,10 @@
 //     while (auto event = delivery.next()) ...             // after each wake, and in each turn
 //     delivery.stop();
 //
-// Sessions are opened by the first batch for a peer and term, and end with PeerLost when
-// the peer cannot be reached, closes, or does not take a batch within half a second; the
-// next batch opens another. All other methods are for one other thread, which never waits.
+// The first batch for a peer and term opens a session. The session ends with PeerLost if the
+// peer cannot be reached, closes the connection, or does not acknowledge a batch within half
+// a second; the next batch opens a new session. All other methods are for one other
+// thread, which never waits for the network.
 
 #include "base/error.h"
 #include "base/ring.h"
@@ -32,7 +33,7 @@
     DeliveryThread(const DeliveryThread&) = delete;
     DeliveryThread& operator=(const DeliveryThread&) = delete;
 
-    // Unavailable when the address cannot be taken; nothing is carried then.
+    // Fails with Unavailable if the address cannot be bound; nothing is sent or received then.
     Result<void> start();
     void stop();
 
@@ -42,10 +43,10 @@
 
     std::optional<DeliveryEvent> next();
 
-    // Whether the thread has ended although nobody stopped it; nothing is taken then.
+    // True if the thread has ended without a call of stop(); nothing is accepted then.
     bool hasFailed() const { return this->failed; }
 
-    // With the port that was chosen for port 0.
+    // The address that is listened on; port 0 is replaced by the port that the system assigned.
     const std::string& address() const { return this->listenAddress; }
 
 private:
@@ -64,7 +65,7 @@
     std::function<void()> wakeOwner;
     BoundedRing<Command> commands;
     BoundedRing<DeliveryEvent> events;
-    int wakeFd { -1 }; // An eventfd that ends the thread's wait.
+    int wakeFd { -1 }; // An eventfd that wakes the thread.
     std::atomic<bool> stopping { false };
     std::atomic<bool> failed { false };
     std::thread thread;
--- a/src/delivery/direct_channel.cc
+++ b/src/delivery/direct_channel.cc
@@ -6,12 +6,12 @@
 
 namespace {
 
-    // A start or stop without an answer is sent again after this: far above the way there
-    // and back.
+    // A start or stop without an answer is sent again after this time, which is far above the
+    // round-trip time.
     constexpr std::chrono::milliseconds orderTimeout { 230 };
-    constexpr std::chrono::milliseconds pollTimeout { 800 }; // Beyond what the poll may wait.
+    constexpr std::chrono::milliseconds pollTimeout { 800 }; // In addition to the time for which the worker may hold the poll.
     constexpr std::chrono::milliseconds pollConnectTimeout { 500 };
-    constexpr std::size_t maxOrdersInFlight = 2; // To one worker; with its poll, three connections.
+    constexpr std::size_t maxOrdersInFlight = 2; // For each worker; with its poll, three connections.
 
 } // namespace
 
--- a/src/delivery/direct_channel.h
+++ b/src/delivery/direct_channel.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// Sends orders to workers from this instance.
+// Sends orders to workers directly from this instance.
 //
 //     DirectChannel channel(client, protocol, group, [&] { return election.leads(clock.now()); });
 //     channel.send(call, handler);
 //
-// Starts and stops for one worker go out a few at a time, in the order in which they
-// came; polls go out at once. `canSend` is asked just before an order leaves: the machine
-// may have stood still since it was decided, and an order of a term that is over could
-// reach a worker after those of a planner that took over. Orders are abandoned, without a
-// call of their handlers, when the channel is destroyed. On the thread of the client.
+// Starts and stops for one worker are sent in the order of the calls, a few at a time; polls
+// are sent at once. `canSend` is called just before a start or stop is sent: the process may
+// have been paused since the order was decided, and an order of a term that has ended could
+// reach a worker after the orders of a planner that took over. Destroying the channel abandons
+// its orders without calling their handlers. To be used on the thread of the client.
 
 #include "delivery/order_queues.h"
 #include "delivery/worker_channel.h"
--- a/src/delivery/order_forwarder.cc
+++ b/src/delivery/order_forwarder.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-    // Ends and the answers to orders: tasks that depend on them wait.
+    // True for reports with ended runs and for answers to starts and stops, since dependent
+    // tasks wait for them.
     bool isUrgent(const WorkerAnswer& answer)
     {
         const auto* poll = std::get_if<PollReply>(&answer.reply);
@@ -33,8 +34,8 @@
         found->second.term = orders.term;
         found->second.channel = this->createChannel(orders.session);
     }
-    // A connection that stood still may deliver seconds later what it was given; the
-    // planner has given these orders up, and others may have followed.
+    // A stalled connection may deliver orders seconds after they were sent. The planner has
+    // given them up by then and may have sent others.
     const bool isLate = this->clock.wall() - orders.sentWallTime > maxTransitTime;
     for (const NumberedCall& numbered : orders.calls) {
         if (isLate || orders.term < this->newestTerm)
@@ -46,8 +47,8 @@
 
 void OrderForwarder::handleSessionEnded(const SessionEnded& session) { this->sessions.erase(session.session); }
 
-// Whoever follows may have asked the same workers: what an earlier planner still wants
-// would only be refused there.
+// The planner of a newer term may have called the same workers already, which would then
+// reject the orders of an earlier term.
 void OrderForwarder::handleNewTerm(std::int64_t term)
 {
     this->newestTerm = std::max(this->newestTerm, term);
--- a/src/delivery/order_forwarder.h
+++ b/src/delivery/order_forwarder.h
@@ -1,17 +1,18 @@
 #pragma once
 
-// Carries out the orders of another instance, which plans.
+// Executes the orders of another instance that plans: sends them to workers and returns the
+// workers' answers.
 //
 //     OrderForwarder forwarder(jobs, port, clock, createChannel);
-//     forwarder.handleOrders(orders, now);            // what the port tells
-//     forwarder.handleSessionEnded(session);
-//     forwarder.handleNewTerm(term);                   // the newest term that was read of
-//     forwarder.step(now);                       // in each turn
+//     forwarder.handleOrders(orders, now);         // received from the port
+//     forwarder.handleSessionEnded(session);       // received from the port
+//     forwarder.handleNewTerm(term);               // the newest term that this instance has read
+//     forwarder.step(now);                         // in each turn
 //
-// It decides nothing about orders: it sends each at most once, in the order of their
-// arrival, and tells what the worker answered. It sends none of a term that is known to be
-// over, none that lay on the way for longer than `maxTransitTime`, and no start whose job
-// is not read here within `maxJobTextWait`; these are told as not sent. Not thread-safe.
+// It makes no decisions about orders: it sends each at most once, in the order of receipt, and
+// returns the worker's answer. It does not send orders of a term that is known to have ended,
+// orders that were in transit for longer than `maxTransitTime`, or a start whose job record is
+// not read here within `maxJobTextWait`; these are answered as not sent. Not thread-safe.
 
 #include "delivery/delivery_port.h"
 #include "delivery/worker_channel.h"
@@ -27,14 +28,14 @@
 
 class OrderForwarder {
 public:
-    // By time of day, which may differ between instances.
+    // Measured by wall-clock time, which may differ between instances.
     static constexpr Millis maxTransitTime = 3000;
     static constexpr Millis maxJobTextWait = 300;
 
-    // Answers that nobody is in a hurry for wait this long for others.
+    // Answers that are not urgent wait up to this long, to be sent together with others.
     static constexpr Millis maxAnswerDelay = 20;
 
-    // A channel for the orders of one session, which are abandoned with it.
+    // Creates the channel for the orders of one session. Destroying the channel abandons them.
     using CreateChannel = std::function<std::unique_ptr<WorkerChannel>(std::uint64_t session)>;
 
     OrderForwarder(const tasks::JobTable&, DeliveryPort&, const Clock&, CreateChannel);
@@ -44,10 +45,10 @@
     void handleNewTerm(std::int64_t term);
     void step(Millis now);
 
-    // Whether somebody plans through this instance now.
+    // Whether another instance has a session open here.
     bool hasSessions() const { return !this->sessions.empty(); }
 
-    // When step() wants to be called although nothing happens.
+    // The time at which step() must be called even if no event occurs.
     Millis nextWake() const;
 
 private:
@@ -59,7 +60,7 @@
     struct SessionState {
         std::int64_t term { 0 };
         std::unique_ptr<WorkerChannel> channel;
-        std::deque<WaitingStart> waitingForText; // Starts of jobs that are not read here yet.
+        std::deque<WaitingStart> waitingForText; // Starts of jobs whose records have not been read here yet.
         std::vector<NumberedAnswer> answers;
         Millis answerDeadline { 0 };
     };
--- a/src/delivery/order_queues.h
+++ b/src/delivery/order_queues.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Orders to workers, at most a few at once to each: ten starts for one worker go
-// over the connections that are there, one after the other, instead of opening
-// ten. A worker that does not answer holds up only its own queue.
+// Limits the number of orders in flight to each worker, so that ten starts for one worker
+// reuse its open connections one after another instead of opening ten. A worker that does not
+// answer delays only its own queue.
 
 #include <cstddef>
 #include <deque>
@@ -14,7 +14,7 @@
 
 class OrderQueues {
 public:
-    // Sends the order; complete() has to be called once it was answered.
+    // Sends the order. complete() must be called when its answer has been received.
     using SendFunction = std::function<void()>;
 
     explicit OrderQueues(std::size_t maxInFlight)
--- a/src/delivery/relay_offer.h
+++ b/src/delivery/relay_offer.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// The datagram by which an instance offers the planner to carry orders for it.
+// The datagram with which an instance offers the planner to act as a relay, that is, to
+// forward the planner's orders to workers.
 
 #include "delivery/relay_selector.h"
 
@@ -9,10 +10,10 @@
 
 namespace rattan::delivery {
 
-// The address of the sender comes with the datagram, and is not part of its text.
+// The text does not contain RelayOffer::peer: the receiver takes it from the datagram's sender.
 std::string encodeOffer(const RelayOffer&);
 
-// Empty where the text is no offer.
+// The offer, or empty if the text is not a valid one. `from` is the sender's address.
 std::optional<RelayOffer> parseOffer(const std::string& from, const std::string& text);
 
 } // namespace rattan::delivery
--- a/src/delivery/relay_selector.cc
+++ b/src/delivery/relay_selector.cc
@@ -1,5 +1,5 @@
-// The choice depends only on the offers and the list of workers, so a planner that takes
-// over chooses the same relays, which have connections to their workers already.
+// The assignment depends only on the offers and the list of workers. A planner that takes over
+// therefore selects the same relays, which are connected to their workers already.
 
 #include "delivery/relay_selector.h"
 
@@ -13,21 +13,21 @@
 
 namespace {
 
-    // Polls and starts of a busy worker take a thousandth of a core and a thirtieth of a
-    // megabit; a planner keeps half of what it has for its decisions and its records.
+    // Polls and starts of a busy worker take one thousandth of a core and one thirtieth of a
+    // megabit per second. A planner reserves half of its capacity for decisions and records.
     constexpr double workersPerCore = 1000;
     constexpr double workersPerMegabit = 30;
 
-    // A relay serves callers too.
+    // A relay also serves callers.
     constexpr double relayLoadShare = 0.25;
 
-    constexpr Millis offerLifetime = 3500; // Offers come once a second and may get lost.
-    constexpr Millis lostRelayBackoff = 3000; // Cuts last seconds.
-    constexpr Millis directRouteTime = 4000; // After a worker gave no answer through its relay.
+    constexpr Millis offerLifetime = 3500; // Offers are sent once a second and may be lost.
+    constexpr Millis lostRelayBackoff = 3000; // Network partitions last seconds.
+    constexpr Millis directRouteTime = 4000; // After a worker did not answer through its relay.
     constexpr Millis reassignInterval = 500;
 
-    // Weighted rendezvous hashing: the highest score of allRelays relays serves the worker, so a
-    // relay that comes or goes moves only its own workers.
+    // Weighted rendezvous hashing: a worker is assigned to the relay with the highest score, so
+    // that adding or removing a relay moves only its own workers.
     double rendezvousScore(const std::string& worker, const RelayOffer& relay)
     {
         constexpr double steps = 1 << 30;
@@ -141,7 +141,7 @@
 void RelaySelector::assignRelays(const std::vector<const RelayOffer*>& usable)
 {
     const bool needsRelays = static_cast<double>(this->workers.size()) > this->plannerCapacity.workersAsPlanner();
-    std::map<std::string, double> unassignedWorkers; // Workers, by failure domain.
+    std::map<std::string, double> unassignedWorkers; // Count by failure domain.
     for (const auto& [id, worker] : this->workers)
         ++unassignedWorkers[worker.domain];
     std::map<std::string, std::vector<const RelayOffer*>> relaysByDomain;
--- a/src/delivery/relay_selector.h
+++ b/src/delivery/relay_selector.h
@@ -1,23 +1,24 @@
 #pragma once
 
-// Which instance carries the orders to which worker.
+// Selects the relays, that is, the instances that forward the planner's orders, and assigns
+// each worker to one of them.
 //
 //     RelaySelector selector({ .cores = 0.5, .megabitsPerSecond = 200 });
 //     selector.addOffer({ "10.1.0.9:7000", "sapporo-a", { 0.12, 20 } }, now);
-//     selector.setWorkers(locations);                    // whenever the list has changed
-//     if (const auto relay = selector.relayFor(worker, now)) ...   // empty: from here
-//     selector.markRouteFailed(worker, now);                 // no answer came that way
+//     selector.setWorkers(locations);                  // after each change of the list
+//     if (const auto relay = selector.relayFor(worker, now)) ...   // empty: send directly
+//     selector.markRouteFailed(worker, now);           // no answer on the route in use
 //     selector.markRelayLost(peer, now);
 //
-// The load this answers: one planner beside a thousand workers, whose polls and starts
-// fill its link and its processor until it cannot renew its term. While it can serve all
-// workers itself, nothing is passed on, since a relay makes each start a hop longer.
+// Relays are needed where one planner serves a thousand workers, whose polls and starts
+// saturate its link and its processor until it cannot renew its term. A planner that can serve
+// all workers itself uses no relays, since a relay adds a hop to each start.
 //
-// A relay is chosen by what it has and by where it is: of each failure domain the
-// strongest instances, as many as its workers need; workers of a domain without any go
-// to those of the others. A worker keeps its relay while that is there (rendezvous
-// hashing). A worker that gave no answer through its relay is reached from here for a
-// while, and through the relay again after that, since either way may be cut.
+// Relays are selected by capacity and failure domain: in each domain the instances with the
+// highest capacity, as many as its workers need. Workers of a domain without relays are
+// assigned to those of other domains. A worker keeps its relay as long as that is available
+// (rendezvous hashing). A worker that does not answer through its relay is reached directly
+// for a while and then through the relay again, since either route may be interrupted.
 // Not thread-safe.
 
 #include "base/clock.h"
@@ -30,12 +31,13 @@
 
 namespace rattan::delivery {
 
-// What a machine has for this work.
+// The resources that an instance has for sending orders to workers.
 struct MachineCapacity {
     double cores { 0 };
-    double megabitsPerSecond { 0 }; // A second, of its link.
+    double megabitsPerSecond { 0 }; // Of its network link.
 
-    // Workers that it can serve while it plans, and while it serves callers.
+    // The number of workers that it can serve as the planner, and as a relay that also serves
+    // callers.
     double workersAsPlanner() const;
     double workersAsRelay() const;
 };
@@ -65,7 +67,7 @@
 
     std::optional<std::string> relayFor(const std::string& worker, Millis now);
 
-    // The relays in use.
+    // The number of relays that have workers assigned.
     std::size_t activeRelayCount() const { return this->activePeers.size(); }
 
 private:
@@ -77,7 +79,7 @@
 
     struct WorkerEntry {
         std::string domain;
-        std::optional<std::string> relay; // Empty: from here.
+        std::optional<std::string> relay; // Empty if orders are sent directly.
         Millis directUntil { 0 };
     };
 
@@ -89,9 +91,9 @@
     const MachineCapacity plannerCapacity;
     std::map<std::string, Offer> offers; // By peer.
     std::map<std::string, WorkerEntry> workers; // By id.
-    std::vector<std::string> candidatePeers; // Peers that could serve, when the choice was made.
-    std::vector<std::string> activePeers; // Peers that some worker is served by.
-    Millis nextReassignment { 0 }; // Relays are chosen anew then.
+    std::vector<std::string> candidatePeers; // Peers that could be selected at the last assignment.
+    std::vector<std::string> activePeers; // Peers that have workers assigned.
+    Millis nextReassignment { 0 }; // The time of the next check for changes.
     bool needsReassignment { true };
 };
 
--- a/src/delivery/relayed_channel.cc
+++ b/src/delivery/relayed_channel.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-    // Beyond what a poll may wait: a relay gives its own tries up sooner, and tells so.
+    // In addition to the time for which the worker may hold a poll. A relay gives up and reports
+    // so before this timeout.
     constexpr Millis relayReplyTimeout = 1600;
 
     Millis replyTimeoutOf(const WorkerCall& call)
@@ -96,7 +97,7 @@
 {
     const auto found = this->pending.find(id);
     if (found == this->pending.end())
-        return; // Given up before, and told so.
+        return; // Completed without an answer before.
     const Pending done = std::move(found->second);
     this->pending.erase(found);
     this->deadlines.erase({ done.deadline, id });
--- a/src/delivery/relayed_channel.h
+++ b/src/delivery/relayed_channel.h
@@ -1,18 +1,18 @@
 #pragma once
 
-// Sends orders to workers through other instances, and from here where none serves them.
+// Sends orders to workers through relays, and directly to workers that have no relay.
 //
 //     RelayedChannel channel(term, selector, direct, port, clock);
 //     channel.send(call, handler);
 //     channel.step(now);                       // at the end of each turn
-//     channel.handleAnswers(answers, now);           // what the port tells
-//     channel.handlePeerLost(peerLost, now);
+//     channel.handleAnswers(answers, now);     // received from the port
+//     channel.handlePeerLost(peerLost, now);   // received from the port
 //
-// Orders for one relay go out together: starts and stops at the end of the turn in which
-// they were sent, polls within `maxPollDelay` or with the next of those. Every order ends:
-// by its answer, when its relay is lost, or after a time in which any relay would have told
-// that the worker gave none. Such an order may have been carried out, or may be later, as
-// with any order without an answer. Not thread-safe.
+// Orders for one relay are sent in batches: starts and stops at the end of the turn in which
+// send() was called, polls within `maxPollDelay` or with the next start or stop. Every order
+// completes: by its answer, when its relay is lost, or after a timeout within which any relay
+// would have reported that the worker did not answer. An order without an answer may have been
+// executed, or may be executed later, as on any channel. Not thread-safe.
 
 #include "delivery/delivery_port.h"
 #include "delivery/relay_selector.h"
@@ -27,7 +27,7 @@
 
 class RelayedChannel final : public WorkerChannel {
 public:
-    // A poll waits this long for others to share a message with.
+    // A poll waits up to this long, to be sent in one message with other orders.
     static constexpr Millis maxPollDelay = 20;
 
     RelayedChannel(std::int64_t term, RelaySelector&, WorkerChannel& direct, DeliveryPort&, const Clock&);
@@ -37,7 +37,7 @@
     void handlePeerLost(const PeerLost&, Millis now);
     void step(Millis now);
 
-    // When step() wants to be called although nothing happens.
+    // The time at which step() must be called even if no event occurs.
     Millis nextWake() const;
 
 private:
@@ -49,7 +49,7 @@
     };
 
     struct OutgoingBatch {
-        std::vector<std::uint32_t> ids; // Not handed to the port yet.
+        std::vector<std::uint32_t> ids; // Orders that have not been passed to the port yet.
         Millis sendDeadline { 0 };
     };
 
@@ -63,7 +63,7 @@
     DeliveryPort& port;
     const Clock& clock;
     std::map<std::uint32_t, Pending> pending;
-    std::set<std::pair<Millis, std::uint32_t>> deadlines; // When each pending order ends without an answer.
+    std::set<std::pair<Millis, std::uint32_t>> deadlines; // The time at which each pending order completes without an answer.
     std::map<std::string, OutgoingBatch> outgoing; // By peer.
     std::uint32_t lastId { 0 };
 };
--- a/src/delivery/report_delta.cc
+++ b/src/delivery/report_delta.cc
@@ -1,6 +1,6 @@
-// Both sides keep the list of what runs in the same order: what is still there keeps
-// its order, and what is new follows. A run is told by its position, since its name is
-// most of the bytes of a row.
+// Both sides keep the list of running tasks in the same order: remaining runs keep their order
+// and new ones are appended. A run is identified by its position, since its name makes up most
+// of the bytes of a row.
 
 #include "delivery/report_delta.h"
 
@@ -19,7 +19,7 @@
         return found == list.end() ? nullptr : &*found;
     }
 
-    // Adds what has become of the runs of `previous`, and gives those that are still there.
+    // Adds the removed and changed runs of `previous` to the delta; returns the remaining ones.
     std::vector<RunningTask> diffRunning(const std::vector<RunningTask>& previous, const std::vector<RunningTask>& current, ReportDelta& delta)
     {
         std::vector<RunningTask> remaining;
--- a/src/delivery/report_delta.h
+++ b/src/delivery/report_delta.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// What has changed between two reports of a worker, so that an instance which polls
-// for another one does not send whole lists again and again.
+// The difference between two successive reports of a worker, so that a relay that polls
+// workers for the planner does not send complete lists repeatedly.
 //
 //     ReportEncoder encoder;                        // where the worker is polled, one a session
 //     ReportDelta delta = encoder.encode(id, report);
 //     ReportDecoder decoder;                        // at the other end of the session
 //     std::optional<WorkerReport> same = decoder.decode(id, delta);
 //
-// Every delta has to be decoded once, in the order in which they were encoded; a new
-// session begins with new objects on both sides. Nothing is decoded from a delta whose
-// base is missing or that names places which do not exist. Not thread-safe.
+// Every delta must be decoded exactly once, in the order of encoding; a new session starts with
+// new objects on both sides. decode() returns empty for a delta whose base is missing or that
+// refers to positions that do not exist. Not thread-safe.
 
 #include "tasks/worker.h"
 
@@ -22,21 +22,22 @@
 
 namespace rattan::delivery {
 
-// A run that is still there; its position in the list of the report before.
+// A run whose progress or checkpoint changed, by its position in the list of the previous
+// report.
 struct ChangedTask {
     std::size_t position { 0 };
     std::int64_t percent { 0 };
-    std::optional<std::string> checkpoint; // Empty: as before.
+    std::optional<std::string> checkpoint; // Empty if unchanged.
 };
 
 struct ReportDelta {
     Millis clock { 0 };
     Millis born { 0 };
-    bool isSnapshot { false }; // Has no base: all that runs is listed in `added`.
+    bool isSnapshot { false }; // The delta has no base: `added` lists all running tasks.
     std::vector<ChangedTask> changed;
-    std::vector<std::size_t> removed; // Places in the list of the report before, rising.
+    std::vector<std::size_t> removed; // Positions in the list of the previous report, ascending.
     std::vector<tasks::RunningTask> added;
-    std::vector<tasks::EndedTask> ended; // All that are not acknowledged.
+    std::vector<tasks::EndedTask> ended; // All ends that are not acknowledged.
 };
 
 class ReportEncoder {
@@ -57,7 +58,7 @@
     std::optional<tasks::WorkerReport> decode(const std::string& worker, const ReportDelta&);
 
 private:
-    std::map<std::string, std::vector<tasks::RunningTask>> running; // As of the last report.
+    std::map<std::string, std::vector<tasks::RunningTask>> running; // As of the last report, by worker.
 };
 
 } // namespace rattan::delivery
--- a/src/delivery/testing/delivery_thread_test.cc
+++ b/src/delivery/testing/delivery_thread_test.cc
@@ -13,7 +13,7 @@
 
 constexpr std::int64_t term = 7;
 
-// An instance's end of deliveries, with the wait for its next event.
+// The DeliveryThread of one instance, and a blocking wait for its next event of a type.
 class TestInstance {
 public:
     TestInstance()
@@ -117,8 +117,8 @@
         CPPUNIT_ASSERT_EQUAL(term, lost.term);
     }
 
-    // Guards against orders that wait for ever at a relay that was killed, and against one
-    // that is never used again after it was restarted.
+    // Guards against orders that wait forever for a relay that was killed, and against a relay
+    // that is not used again after a restart.
     void stoppedPeerIsLostAndReplaced()
     {
         const std::string address = this->relay.thread.address();
--- a/src/delivery/testing/fake_delivery.h
+++ b/src/delivery/testing/fake_delivery.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Ends of channels that keep what they are given, for tests.
+// A channel and a port that record what is sent through them, for tests.
 
 #include "base/clock.h"
 #include "delivery/delivery_port.h"
--- a/src/delivery/testing/order_forwarder_test.cc
+++ b/src/delivery/testing/order_forwarder_test.cc
@@ -45,7 +45,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("the text"), *std::get<tasks::StartOrder>(this->channel->sent[0].call.order).text);
     }
 
-    // The planner reads of a job a moment before the instance that carries its starts does.
+    // The planner may read a job record shortly before the relay that forwards its starts does.
     void startWaitsForItsJobRecord()
     {
         this->receiveOrders({ { 1, startOf("w1", job) } });
@@ -64,8 +64,8 @@
         this->expectNotSent();
     }
 
-    // The connection stood still for seconds. The planner has given the start up since, and
-    // its job may have been cancelled.
+    // Guards against a start that a stalled connection delivers seconds later: the planner has
+    // given it up since, and its job may have been cancelled.
     void ordersDelayedInTransitAreNotSent()
     {
         this->addJob();
--- a/src/delivery/testing/relay_selector_test.cc
+++ b/src/delivery/testing/relay_selector_test.cc
@@ -30,7 +30,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Through a relay each start is a hop longer, for nothing.
+    // A relay would add a hop to each start without any benefit.
     void noRelaysIfPlannerServesAllWorkers()
     {
         RelaySelector selector(largeMachine);
@@ -41,8 +41,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), selector.activeRelayCount());
     }
 
-    // Polls and starts fill the planner's link, its renewals wait behind them, and it loses
-    // term after term while its processor idles.
+    // Guards against a planner whose polls and starts saturate its link: its renewals wait behind
+    // them, and it loses one term after another while its processor is idle.
     void relaysAreUsedIfLinkIsTooSlow()
     {
         RelaySelector selector({ 0.5, 2 });
@@ -70,8 +70,8 @@
             CPPUNIT_ASSERT(selector.relayFor(location.id, begin) == "10.0.0.0:7000");
     }
 
-    // Each relay costs the planner a message for each batch, so few large ones are better
-    // than many small ones.
+    // The planner sends one message per relay and batch, so few large relays are better than
+    // many small ones.
     void largestInstancesAreUsedFirst()
     {
         RelaySelector selector(largeMachine);
@@ -87,7 +87,7 @@
     void lostRelayMovesOnlyItsOwnWorkers()
     {
         RelaySelector selector(smallMachine);
-        this->offer(selector, 2 * domainCount, smallMachine, begin); // All of them are needed, so none steps in.
+        this->offer(selector, 2 * domainCount, smallMachine, begin); // All of them are in use, so there is none to replace the lost one.
         const auto before = this->routes(selector, begin);
         const std::string lostRelay = before.begin()->second;
         selector.markRelayLost(lostRelay, begin + 10);
@@ -114,7 +114,7 @@
         CPPUNIT_ASSERT(this->routes(selector, begin + 5000) == before);
     }
 
-    // A relay may be cut off from a worker that the planner reaches, and the other way round.
+    // A worker may be reachable from the planner but not from its relay, or the other way round.
     void unresponsiveWorkerIsTriedDirectlyAndThroughRelay()
     {
         RelaySelector selector(smallMachine);
--- a/src/delivery/testing/relayed_channel_test.cc
+++ b/src/delivery/testing/relayed_channel_test.cc
@@ -19,7 +19,8 @@
 constexpr int workerCount = 120;
 const std::string relay = "10.0.0.1:7000";
 
-// A machine's link: bytes leave one after the other, and what comes later waits.
+// Simulates the network link of a machine: bytes are sent one after another, and later
+// messages wait for earlier ones.
 class SimulatedLink final : public WorkerChannel, public DeliveryPort {
 public:
     SimulatedLink(const Clock& clock, double bytesPerMilli)
@@ -28,7 +29,7 @@
     {
     }
 
-    // From here straight to a worker: an HTTP call.
+    // Directly to a worker: an HTTP call.
     void send(const WorkerCall& call, Handler) override
     {
         constexpr std::size_t headers = 190;
@@ -37,10 +38,10 @@
         this->transmit(headers + (start ? startBody + start->text->size() : 0), 3);
     }
 
-    // Through another instance: a message of the session.
+    // Through a relay: one message of the session.
     bool send(OrderBatch batch) override
     {
-        constexpr std::size_t rpcBytes = 200; // Of a call, and of what ends it.
+        constexpr std::size_t rpcBytes = 200; // Of an RPC call and its completion.
         constexpr std::size_t wordBytes = 8;
         capnp::MallocMessageBuilder message;
         auto params = message.initRoot<wire::Session::CarryParams>();
@@ -93,7 +94,7 @@
         this->channel.emplace(term, *this->selector, this->direct, this->port, this->clock);
     }
 
-    // Guards against a planner whose polls and starts fill its link, so that the renewal of
+    // Guards against a planner whose polls and starts saturate its link, so that the renewal of
     // its term waits behind them for longer than the term lasts.
     void ordersDoNotDelayTermRenewal()
     {
@@ -149,8 +150,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), this->answers.size());
     }
 
-    // A relay is killed. A start that it was given may run, one that it was not given
-    // surely does not, and may be placed elsewhere at once.
+    // A relay is killed. A start that was sent to it may run; one that was not sent certainly
+    // does not, and may be placed elsewhere at once.
     void lostRelayLeavesSentOrdersUnanswered()
     {
         this->sendTo("w1", startOf("w1", "job"));
--- a/src/delivery/testing/report_delta_test.cc
+++ b/src/delivery/testing/report_delta_test.cc
@@ -32,7 +32,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // A run that is missing from a report counts as gone, and is started a second time.
+    // Guards against a run that is missing from a decoded report: it is considered lost and
+    // started a second time.
     void anySequenceOfReportsIsDecodedUnchanged()
     {
         std::mt19937 random(7);
--- a/src/delivery/worker_call.h
+++ b/src/delivery/worker_call.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// An order to a worker as it is sent, and what became of it.
+// An order to a worker with its term and lease, and the answer to it.
 
 #include "delivery/worker_protocol.h"
 #include "tasks/orders.h"
@@ -15,7 +15,7 @@
 struct WorkerCall {
     std::variant<tasks::StartOrder, tasks::StopOrder, tasks::PollOrder> order;
     std::int64_t term { 0 };
-    std::optional<Millis> leaseEnd; // On the worker's clock; of a start always there.
+    std::optional<Millis> leaseEnd; // On the worker's clock. Always set for a start.
 
     const tasks::Incarnation& worker() const
     {
@@ -28,16 +28,16 @@
     bool isPoll() const { return std::holds_alternative<tasks::PollOrder>(this->order); }
 };
 
-// The reply is of the kind of the order.
+// The type of the reply matches the type of the order.
 struct WorkerAnswer {
     std::variant<StartReply, StopReply, PollReply> reply;
-    int status { 0 }; // Of HTTP; 0: none came.
+    int status { 0 }; // HTTP status; 0 if there was no response.
 };
 
-// Whether anything was heard from the worker itself.
+// Whether the answer came from the worker itself.
 bool wasAnswered(const WorkerAnswer&);
 
-// The answer to an order that surely was not sent, and to one of which nothing is known.
+// The answer to an order that was certainly not sent, and to one whose outcome is unknown.
 WorkerAnswer notSentAnswer(const WorkerCall&);
 WorkerAnswer missingAnswer(const WorkerCall&);
 
--- a/src/delivery/worker_channel.h
+++ b/src/delivery/worker_channel.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// A way by which orders reach workers: straight from here, or through other instances.
+// A route on which orders reach workers: directly from this instance or through relays.
 //
 //     channel.send(call, [&](const WorkerAnswer& answer) { ... });
 //
-// The handler is called exactly once, on the thread that owns the channel, unless the
-// channel is destroyed first; it may be called from within send().
+// The handler is called exactly once, on the thread that owns the channel, unless the channel
+// is destroyed first. It may be called from within send().
 
 #include "delivery/worker_call.h"
 
--- a/src/delivery/worker_protocol.h
+++ b/src/delivery/worker_protocol.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// How workers are spoken to. Implemented where the platform's names are known.
+// Encodes requests to workers and the advice service, and parses their replies. Implemented
+// where the names of the platform's interface are known.
 
 #include "http/client.h"
 #include "tasks/orders.h"
@@ -12,18 +13,18 @@
 
 struct StartReply {
     tasks::StartAnswer answer { tasks::StartAnswer::NoAnswer };
-    std::optional<Millis> clock; // The worker's, where told.
+    std::optional<Millis> clock; // The worker's clock, if it was reported.
 };
 
 struct StopReply {
-    bool stopped { false }; // The run has ended or will not begin any more.
-    bool deposed { false };
+    bool stopped { false }; // The run has ended or will not start any more.
+    bool deposed { false }; // A planner with a higher term has called the worker.
     std::optional<Millis> clock;
 };
 
 struct PollReply {
     std::optional<tasks::WorkerReport> report;
-    tasks::WorkerFault fault { tasks::WorkerFault::NoAnswer }; // Where there is no poll.
+    tasks::WorkerFault fault { tasks::WorkerFault::NoAnswer }; // Why there is no report.
 };
 
 class WorkerProtocol {
@@ -41,10 +42,10 @@
     virtual PollReply parsePoll(const http::Reply&) const = 0;
 
     virtual http::Call advise(const tasks::AdviceOrder&) const = 0;
-    // Empty where the service has not answered the question.
+    // The workers that may run the step, or empty if the advice service did not answer.
     virtual std::optional<std::vector<tasks::AllowedWorker>> parseAdvice(const http::Reply&) const = 0;
 
-    // Of an entry of the list of workers.
+    // Parses one entry of the list of workers.
     virtual Result<tasks::WorkerSighting> parseSighting(const std::string& id, std::string_view entry) const = 0;
 };
 
