--- a/src/tasks/testing/busy_day.cc
+++ b/src/tasks/testing/fault_scenario.cc
@@ -1,4 +1,4 @@
-#include "tasks/testing/busy_day.h"
+#include "tasks/testing/fault_scenario.h"
 
 #include <fmt/format.h>
 
--- a/src/tasks/testing/busy_day_test.cc
+++ b/src/tasks/testing/fault_scenario_test.cc
@@ -1,7 +1,7 @@
 // The faults of a busy day one after the other, and what is left of them when all is well
 // again. RATTAN_DAYS=FIRST-LAST plays other seeds.
 
-#include "tasks/testing/busy_day.h"
+#include "tasks/testing/fault_scenario.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <cstdio>
--- a/src/tasks/testing/lost_work_judge.cc
+++ b/src/tasks/testing/lost_work_detector.cc
@@ -1,4 +1,4 @@
-#include "tasks/testing/lost_work_judge.h"
+#include "tasks/testing/lost_work_detector.h"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/src/tasks/testing/virtual_site.h
+++ b/src/tasks/testing/virtual_site.h
@@ -12,7 +12,7 @@
 // idle workers (see lost_work_judge.h; judged only where no fault is near).
 
 #include "tasks/task_planner.h"
-#include "tasks/testing/lost_work_judge.h"
+#include "tasks/testing/lost_work_detector.h"
 
 #include <fmt/format.h>
 #include <functional>
