--- a/src/tasks/testing/crash_test.cc
+++ b/src/tasks/testing/crash_test.cc
@@ -46,9 +46,9 @@
     {
         VirtualSite site({ .seed = 50, .failures = 0 });
         site.newPlanner();
-        site.crashesWorkers("bad", crashAfter);
+        site.crashWorkersRunning("bad", crashAfter);
         site.submit(jobOf("bad", 3, one, 2000));
-        CPPUNIT_ASSERT(site.runUntilOver(60000));
+        CPPUNIT_ASSERT(site.runUntilFinished(60000));
         this->assertGivenUp(site);
     }
 
@@ -56,10 +56,10 @@
     void crashesAreCountedAcrossTakeovers()
     {
         VirtualSite site({ .seed = 51, .failures = 0 });
-        site.crashesWorkers("bad", crashAfter);
+        site.crashWorkersRunning("bad", crashAfter);
         site.newPlanner();
         site.submit(jobOf("bad", 1, one, 2000));
-        while (!site.allOver() && site.now < 90000) {
+        while (!site.allFinished() && site.now < 90000) {
             site.run(site.now + 1500);
             site.killPlanner();
             site.newPlanner();
@@ -72,11 +72,11 @@
     {
         VirtualSite site({ .seed = 52, .failures = 0 });
         site.newPlanner();
-        site.crashesWorkers("bad", crashAfter);
+        site.crashWorkersRunning("bad", crashAfter);
         Job gang = jobOf("bad", 4, whole, 2000);
         gang.steps.front().gang = true;
         site.submit(gang);
-        CPPUNIT_ASSERT(site.runUntilOver(60000));
+        CPPUNIT_ASSERT(site.runUntilFinished(60000));
         this->assertGivenUp(site);
     }
 
@@ -86,11 +86,11 @@
     {
         VirtualSite site({ .seed = 53, .failures = 0 });
         site.newPlanner();
-        site.crashesWorkers("bad", crashAfter);
+        site.crashWorkersRunning("bad", crashAfter);
         for (int i = 0; i < 6; ++i)
             site.submit(jobOf(fmt::format("good{}", i), 2, one, 3000));
         site.submit(jobOf("bad", 1, one, 2000));
-        CPPUNIT_ASSERT(site.runUntilOver(60000));
+        CPPUNIT_ASSERT(site.runUntilFinished(60000));
         this->assertGivenUp(site);
         for (int i = 0; i < 6; ++i) {
             CPPUNIT_ASSERT(site.stateOf(fmt::format("good{}", i)) == JobState::Completed);
@@ -115,7 +115,7 @@
         this->assertSound(site);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.runsOf("wide"));
         site.resize("w00", { 128000, 512000, 8 });
-        CPPUNIT_ASSERT(site.runUntilOver(60000));
+        CPPUNIT_ASSERT(site.runUntilFinished(60000));
         this->assertSound(site);
     }
 
@@ -138,7 +138,7 @@
         while (site.isBusy(first))
             site.run(site.now + 5);
         site.restart(first);
-        CPPUNIT_ASSERT(site.runUntilOver(40000));
+        CPPUNIT_ASSERT(site.runUntilFinished(40000));
         CPPUNIT_ASSERT(site.stateOf("j") == JobState::Completed);
         this->assertSound(site);
     }
@@ -154,7 +154,7 @@
         site.submit(jobOf("j", 1, whole, 8000));
         site.run(3000);
         site.restart(site.hostOf("j", 0));
-        CPPUNIT_ASSERT(site.runUntilOver(30000));
+        CPPUNIT_ASSERT(site.runUntilFinished(30000));
         this->assertSound(site);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, site.runsOf("j"));
     }
@@ -170,7 +170,7 @@
         site.submit(jobOf("j", 1, whole, 8000));
         site.run(3000);
         site.restart(site.hostOf("j", 0));
-        CPPUNIT_ASSERT(site.runUntilOver(30000));
+        CPPUNIT_ASSERT(site.runUntilFinished(30000));
         this->assertSound(site);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, site.runsOf("j"));
     }
@@ -189,7 +189,7 @@
         site.run(4000);
         CPPUNIT_ASSERT(site.hostOf("j", 0) != first);
         site.restart(first);
-        CPPUNIT_ASSERT(site.runUntilOver(40000));
+        CPPUNIT_ASSERT(site.runUntilFinished(40000));
         this->assertSound(site);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, site.runsOf("j"));
     }
@@ -197,7 +197,7 @@
 private:
     void assertSound(const VirtualSite& site)
     {
-        CPPUNIT_ASSERT_MESSAGE(site.broken.empty() ? "" : site.broken.front(), site.broken.empty());
+        CPPUNIT_ASSERT_MESSAGE(site.violations.empty() ? "" : site.violations.front(), site.violations.empty());
     }
 
     void assertGivenUp(const VirtualSite& site)
@@ -205,7 +205,7 @@
         this->assertSound(site);
         CPPUNIT_ASSERT(site.stateOf("bad") == JobState::Failed);
         constexpr std::int64_t mostCrashes = 3;
-        CPPUNIT_ASSERT(site.crashesUnder("bad") <= mostCrashes);
+        CPPUNIT_ASSERT(site.crashCountOf("bad") <= mostCrashes);
     }
 };
 
--- a/src/tasks/testing/fault_scenario_test.cc
+++ b/src/tasks/testing/fault_scenario_test.cc
@@ -10,12 +10,12 @@
 
 using namespace rattan;
 using namespace rattan::tasks;
-using rattan::tasks::testing::BusyDay;
+using rattan::tasks::testing::FaultScenario;
 using rattan::tasks::testing::VirtualSite;
 
 namespace {
 
-Job job(const std::string& id, std::int64_t steps)
+Job createJob(const std::string& id, std::int64_t steps)
 {
     Job result;
     result.id = id;
@@ -29,96 +29,96 @@
     return result;
 }
 
-bool isLost(const VirtualSite& site) { return !site.broken.empty() && site.broken.front().find("could run and doesn't") != std::string::npos; }
+bool hasLostWork(const VirtualSite& site) { return !site.violations.empty() && site.violations.front().find("could run and doesn't") != std::string::npos; }
 
-class BusyDayTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(BusyDayTest);
-    CPPUNIT_TEST(noWorkIsLostAtTheEndOfABusyDay);
-    CPPUNIT_TEST(theJudgeSeesWorkThatNobodyStarts);
-    CPPUNIT_TEST(theJudgeSeesSecondStepsThatNobodyBegins);
-    CPPUNIT_TEST(theJudgeSaysNothingNearAFault);
-    CPPUNIT_TEST(theJudgeSaysNothingOfWorkThatHasNoTurn);
+class FaultScenarioTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(FaultScenarioTest);
+    CPPUNIT_TEST(noWorkIsLostAfterFaults);
+    CPPUNIT_TEST(detectorReportsWorkThatIsNotStarted);
+    CPPUNIT_TEST(detectorReportsSecondStepsThatAreNotStarted);
+    CPPUNIT_TEST(detectorReportsNothingNearAFault);
+    CPPUNIT_TEST(detectorIgnoresWorkThatCannotRun);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Guards against work that waits beside idle workers, since nobody asks them or reads their ends.
-    void noWorkIsLostAtTheEndOfABusyDay()
+    void noWorkIsLostAfterFaults()
     {
         unsigned long long first = 1;
         unsigned long long last = 1;
         if (const char* text = std::getenv("RATTAN_DAYS"))
             std::sscanf(text, "%llu-%llu", &first, &last);
         for (auto seed = first; seed <= last; ++seed) {
-            BusyDay day({ .seed = seed });
-            day.play();
-            CPPUNIT_ASSERT_MESSAGE(day.site.broken.empty() ? "" : fmt::format("seed {}: {}, {} more", seed, day.site.broken.front(), day.site.broken.size() - 1), day.site.broken.empty());
+            FaultScenario scenario({ .seed = seed });
+            scenario.run();
+            CPPUNIT_ASSERT_MESSAGE(scenario.site.violations.empty() ? "" : fmt::format("seed {}: {}, {} more", seed, scenario.site.violations.front(), scenario.site.violations.size() - 1), scenario.site.violations.empty());
         }
     }
 
     // Guards against a judge that never speaks.
-    void theJudgeSeesWorkThatNobodyStarts()
+    void detectorReportsWorkThatIsNotStarted()
     {
         VirtualSite site({ .seed = 41, .failures = 0 });
         site.newPlanner();
         site.run(10000);
-        site.holdPlanner(20000);
-        site.submit(job("j", 1));
+        site.pausePlanner(20000);
+        site.submit(createJob("j", 1));
         site.run(12900);
-        CPPUNIT_ASSERT(site.broken.empty());
+        CPPUNIT_ASSERT(site.violations.empty());
         site.run(13200);
-        CPPUNIT_ASSERT(isLost(site));
+        CPPUNIT_ASSERT(hasLostWork(site));
     }
 
-    void theJudgeSeesSecondStepsThatNobodyBegins()
+    void detectorReportsSecondStepsThatAreNotStarted()
     {
         VirtualSite site({ .seed = 42, .failures = 0 });
         site.newPlanner();
         site.run(10000);
-        site.submit(job("j", 2));
+        site.submit(createJob("j", 2));
         while (site.now < 12000 && site.countEnds(RunEnd::Done) < 2)
             site.run(site.now + 5);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, site.countEnds(RunEnd::Done));
         const Millis ended = site.now;
-        site.holdPlanner(20000); // The polls that wait there tell of both ends.
+        site.pausePlanner(20000); // The polls that wait there tell of both ends.
         site.run(ended + 2900);
-        CPPUNIT_ASSERT(site.broken.empty());
+        CPPUNIT_ASSERT(site.violations.empty());
         site.run(ended + 3400);
-        CPPUNIT_ASSERT(isLost(site));
+        CPPUNIT_ASSERT(hasLostWork(site));
     }
 
     // Guards against a judge that takes a fault of the site for one of the planner.
-    void theJudgeSaysNothingNearAFault()
+    void detectorReportsNothingNearAFault()
     {
         VirtualSite site({ .seed = 43, .failures = 0 });
         site.newPlanner();
         site.run(10000);
-        site.cut("w03", true);
+        site.setPartitioned("w03", true);
         site.run(10100);
-        site.cut("w03", false);
-        site.holdPlanner(20000);
-        site.submit(job("j", 1));
+        site.setPartitioned("w03", false);
+        site.pausePlanner(20000);
+        site.submit(createJob("j", 1));
         site.run(19900);
-        CPPUNIT_ASSERT(site.broken.empty());
+        CPPUNIT_ASSERT(site.violations.empty());
         site.run(23000);
-        CPPUNIT_ASSERT(site.broken.empty());
+        CPPUNIT_ASSERT(site.violations.empty());
     }
 
-    void theJudgeSaysNothingOfWorkThatHasNoTurn()
+    void detectorIgnoresWorkThatCannotRun()
     {
         VirtualSite site({ .seed = 44, .failures = 0 });
         site.newPlanner();
         site.run(10000);
-        Job wide = job("wide", 1);
-        wide.steps[0].count = 1;
-        wide.steps[0].each.accelerators = 9; // More than any worker has.
-        site.submit(wide);
-        site.submit(job("given up", 1));
+        Job oversized = createJob("wide", 1);
+        oversized.steps[0].count = 1;
+        oversized.steps[0].each.accelerators = 9; // More than any worker has.
+        site.submit(oversized);
+        site.submit(createJob("given up", 1));
         site.cancel("given up");
         site.run(20000);
-        CPPUNIT_ASSERT(site.broken.empty());
+        CPPUNIT_ASSERT(site.violations.empty());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(BusyDayTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(FaultScenarioTest);
 
 } // namespace
--- a/src/tasks/testing/long_running_tasks_test.cc
+++ b/src/tasks/testing/long_running_tasks_test.cc
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr Room whole { 10000, 10000, 8 };
-constexpr Room half { 1000, 1000, 4 };
-constexpr Room one { 1000, 1000, 1 };
+constexpr Room wholeWorker { 10000, 10000, 8 };
+constexpr Room halfWorker { 1000, 1000, 4 };
+constexpr Room oneAccelerator { 1000, 1000, 1 };
 
-Job job(const std::string& id, std::int64_t count, Room each, Millis time)
+Job createJob(const std::string& id, std::int64_t count, Room each, Millis time)
 {
     Job result;
     result.id = id;
@@ -27,27 +27,27 @@
     return result;
 }
 
-Job lasting(const std::string& id, std::int64_t count, Room each)
+Job longRunningJob(const std::string& id, std::int64_t count, Room each)
 {
-    Job result = job(id, count, each, 1000);
+    Job result = createJob(id, count, each, 1000);
     result.steps.front().longRunning = true;
     return result;
 }
 
 // Workers on which every start succeeds, runs that last serve at once, and others end in time.
-class Hands {
+class ManualWorkers {
 public:
-    explicit Hands(int count)
+    explicit ManualWorkers(int count)
         : planner({}, table, plans, now, now)
     {
-        std::vector<WorkerSighting> seen;
+        std::vector<WorkerSighting> sightings;
         for (int i = 0; i < count; ++i) {
             const std::string id = fmt::format("w{}", i);
             this->workers[id];
-            seen.push_back({ .incarnation = { id, 1 }, .address = id, .service = "s", .domain = "d", .rack = "r", .labels = {}, .capacity = whole });
+            sightings.push_back({ .incarnation = { id, 1 }, .address = id, .service = "s", .domain = "d", .rack = "r", .labels = {}, .capacity = wholeWorker });
         }
         this->planner.applyCatalog(std::make_shared<Catalog>());
-        this->planner.workersSeen(seen, this->now);
+        this->planner.workersSeen(sightings, this->now);
     }
 
     void submit(const Job& submitted)
@@ -60,7 +60,7 @@
 
     void run(Millis time)
     {
-        for (const Millis until = this->now + time; this->now < until; this->now += turn) {
+        for (const Millis until = this->now + time; this->now < until; this->now += turnInterval) {
             this->planner.step(this->now, this->now);
             const Orders orders = this->planner.take(this->now);
             for (const StartOrder& order : orders.starts)
@@ -83,7 +83,7 @@
     std::string hostOf(const std::string& id) const
     {
         for (const auto& [worker, state] : this->workers) {
-            for (const auto& [run, begun] : state.running) {
+            for (const auto& [run, startedAt] : state.running) {
                 if (run.task.job == id)
                     return worker;
             }
@@ -94,12 +94,12 @@
     void failAll(bool fails) { this->failsAll = fails; }
 
 private:
-    static constexpr Millis turn = 10;
+    static constexpr Millis turnInterval = 10;
 
     struct Worker {
         std::map<RunRef, Millis> running; // And when each began.
         std::vector<EndedTask> ended;
-        std::int64_t number { 0 };
+        std::int64_t lastEndNumber { 0 };
     };
 
     void start(const StartOrder& order)
@@ -113,7 +113,7 @@
     {
         Worker& worker = this->workers.at(order.worker.id);
         if (worker.running.erase(order.run) > 0)
-            worker.ended.push_back({ ++worker.number, order.run, RunEnd::Stopped, "" });
+            worker.ended.push_back({ ++worker.lastEndNumber, order.run, RunEnd::Stopped, "" });
         this->planner.stopAnswered(order.worker, order.run, true, this->now);
     }
 
@@ -126,12 +126,12 @@
             const auto current = next++;
             const RunRef run = current->first;
             const Step& step = this->table.find(run.task.job)->job->steps.front();
-            const Millis ran = this->now - current->second;
-            if (step.longRunning || ran < step.estimate) {
-                report.running.push_back({ run, "", step.longRunning ? 100 : ran * 100 / step.estimate });
+            const Millis elapsed = this->now - current->second;
+            if (step.longRunning || elapsed < step.estimate) {
+                report.running.push_back({ run, "", step.longRunning ? 100 : elapsed * 100 / step.estimate });
                 continue;
             }
-            worker.ended.push_back({ ++worker.number, run, this->failsAll ? RunEnd::Failed : RunEnd::Done, "" });
+            worker.ended.push_back({ ++worker.lastEndNumber, run, this->failsAll ? RunEnd::Failed : RunEnd::Done, "" });
             worker.running.erase(current);
         }
         report.ended = worker.ended;
@@ -148,47 +148,47 @@
     bool failsAll { false };
 };
 
-class LastingRunsTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(LastingRunsTest);
-    CPPUNIT_TEST(roomBesideARunThatLastsIsNotKeptForItsEnd);
-    CPPUNIT_TEST(aTrialThatServesIsOver);
+class LongRunningTasksTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(LongRunningTasksTest);
+    CPPUNIT_TEST(capacityBesideALongRunIsNotReserved);
+    CPPUNIT_TEST(servingRunEndsAWorkerTrial);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Guards against room that stays free because a task waits for a run to end that does not.
-    void roomBesideARunThatLastsIsNotKeptForItsEnd()
+    void capacityBesideALongRunIsNotReserved()
     {
-        Hands hands(1);
-        hands.submit(lasting("serving", 1, half));
-        hands.run(3000);
-        hands.submit(job("large", 1, whole, 1000));
-        hands.run(1000);
-        hands.submit(job("small", 4, one, 1000));
-        hands.run(4000);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 4 }, hands.runsOf("small"));
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, hands.runsOf("large"));
+        ManualWorkers workers(1);
+        workers.submit(longRunningJob("serving", 1, halfWorker));
+        workers.run(3000);
+        workers.submit(createJob("large", 1, wholeWorker, 1000));
+        workers.run(1000);
+        workers.submit(createJob("small", 4, oneAccelerator, 1000));
+        workers.run(4000);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 4 }, workers.runsOf("small"));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, workers.runsOf("large"));
     }
 
     // Guards against a worker that gets nothing more because the run that it was tried with lasts.
-    void aTrialThatServesIsOver()
+    void servingRunEndsAWorkerTrial()
     {
-        Hands hands(1);
-        hands.failAll(true);
-        hands.submit(job("bad", 1, one, 400));
-        hands.run(1500);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, hands.runsOf("bad"));
-        hands.failAll(false);
-        hands.cancel("bad");
-        hands.run(500);
-        hands.submit(lasting("serving", 1, half));
-        hands.run(6000);
-        hands.submit(job("good", 2, one, 1000));
-        hands.run(4000);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, hands.runsOf("serving"));
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, hands.runsOf("good"));
+        ManualWorkers workers(1);
+        workers.failAll(true);
+        workers.submit(createJob("bad", 1, oneAccelerator, 400));
+        workers.run(1500);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, workers.runsOf("bad"));
+        workers.failAll(false);
+        workers.cancel("bad");
+        workers.run(500);
+        workers.submit(longRunningJob("serving", 1, halfWorker));
+        workers.run(6000);
+        workers.submit(createJob("good", 2, oneAccelerator, 1000));
+        workers.run(4000);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, workers.runsOf("serving"));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, workers.runsOf("good"));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LastingRunsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LongRunningTasksTest);
 
 } // namespace
--- a/src/tasks/testing/lost_work_detector.cc
+++ b/src/tasks/testing/lost_work_detector.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-    std::int64_t fitting(const Room& free, const Room& each, std::int64_t most)
+    std::int64_t countFitting(const Room& free, const Room& each, std::int64_t maxCount)
     {
         std::int64_t count = 0;
         Room used = each;
-        while (count < most && used.within(free)) {
+        while (count < maxCount && used.within(free)) {
             ++count;
             used += each;
         }
@@ -20,77 +20,77 @@
 
 } // namespace
 
-void LostWorkJudge::look(const View& view, std::vector<std::string>& broken)
+void LostWorkDetector::check(const View& view, std::vector<std::string>& violations)
 {
-    if (view.used * 2 >= view.accelerators)
-        return this->disturbed();
-    std::set<std::string> begun;
+    if (view.usedAccelerators * 2 >= view.accelerators)
+        return this->reset();
+    std::set<std::string> runningJobs;
     for (const TaskRef& task : view.running)
-        begun.insert(task.job);
-    std::map<std::string, Millis> still;
+        runningJobs.insert(task.job);
+    std::map<std::string, Millis> stillLost;
     for (const Job* job : view.jobs) {
-        if (begun.contains(job->id))
+        if (runningJobs.contains(job->id))
             continue;
-        for (const UnitKey& unit : dueUnits(*job, view)) {
+        for (const UnitKey& unit : readyUnits(*job, view)) {
             const std::int64_t fits = countFits(*job, unit, view);
             if (fits < 2)
                 continue;
-            const auto before = this->since.find(job->id);
-            const Millis from = before == this->since.end() ? view.now : before->second;
-            still[job->id] = from;
-            if (view.now - from >= longest && this->told.insert(job->id).second)
-                broken.push_back(fmt::format("{} ms: could run and doesn't: {}.{}.{} of {} jobs that are not over, {} of {} accelerators in use", view.now, unit.job, unit.step, unit.index, view.jobs.size(), view.used, view.accelerators));
+            const auto previous = this->lostSince.find(job->id);
+            const Millis firstSeen = previous == this->lostSince.end() ? view.now : previous->second;
+            stillLost[job->id] = firstSeen;
+            if (view.now - firstSeen >= maxIdleTime && this->reportedJobs.insert(job->id).second)
+                violations.push_back(fmt::format("{} ms: could run and doesn't: {}.{}.{} of {} jobs that are not over, {} of {} accelerators in use", view.now, unit.job, unit.step, unit.index, view.jobs.size(), view.usedAccelerators, view.accelerators));
             break;
         }
     }
-    this->since = std::move(still);
+    this->lostSince = std::move(stillLost);
 }
 
 // One of each step, since all are alike but for where they have failed.
-std::vector<UnitKey> LostWorkJudge::dueUnits(const Job& job, const View& view)
+std::vector<UnitKey> LostWorkDetector::readyUnits(const Job& job, const View& view)
 {
-    std::vector<UnitKey> due;
+    std::vector<UnitKey> ready;
     for (std::size_t i = 0; i < job.steps.size(); ++i) {
         const Step& step = job.steps[i];
         const auto number = static_cast<std::int64_t>(i);
-        const bool hasTurn = std::all_of(step.dependsOn.begin(), step.dependsOn.end(), [&](std::int64_t earlier) {
+        const bool isReady = std::all_of(step.dependsOn.begin(), step.dependsOn.end(), [&](std::int64_t earlier) {
             for (std::int64_t index = 0; index < job.steps[static_cast<std::size_t>(earlier)].count; ++index) {
-                if (!view.isListed({ job.id, 0, earlier, index }))
+                if (!view.isReportedDone({ job.id, 0, earlier, index }))
                     return false;
             }
             return true;
         });
-        for (std::int64_t index = 0; hasTurn && index < step.count; ++index) {
+        for (std::int64_t index = 0; isReady && index < step.count; ++index) {
             if (view.isDone({ job.id, 0, number, index }))
                 continue;
-            due.push_back({ job.id, 0, number, step.gang ? wholeGang : index });
+            ready.push_back({ job.id, 0, number, step.gang ? wholeGang : index });
             break;
         }
     }
-    return due;
+    return ready;
 }
 
 // How often the whole unit fits, at most twice.
-std::int64_t LostWorkJudge::countFits(const Job& job, const UnitKey& unit, const View& view)
+std::int64_t LostWorkDetector::countFits(const Job& job, const UnitKey& unit, const View& view)
 {
-    constexpr std::int64_t enough = 2;
+    constexpr std::int64_t maxFits = 2;
     const Step& step = job.steps[static_cast<std::size_t>(unit.step)];
     const std::int64_t members = unit.index == wholeGang ? step.count : 1;
     std::map<std::string, std::int64_t> byRack;
-    for (const Place& place : view.places) {
-        if (place.service != job.terms.service || view.hasFailedOn(unit, place.id))
+    for (const WorkerCapacity& worker : view.workers) {
+        if (worker.service != job.terms.service || view.hasFailedOn(unit, worker.id))
             continue;
-        if (!step.label.empty() && std::find(place.labels.begin(), place.labels.end(), step.label) == place.labels.end())
+        if (!step.label.empty() && std::find(worker.labels.begin(), worker.labels.end(), step.label) == worker.labels.end())
             continue;
-        if (!step.dataRack.empty() && place.rack != step.dataRack)
+        if (!step.dataRack.empty() && worker.rack != step.dataRack)
             continue;
-        const std::int64_t most = step.mostPerWorker > 0 ? std::min(step.mostPerWorker, members * enough) : members * enough;
-        byRack[step.sameRack ? place.rack : ""] += fitting(place.free, step.each, most);
+        const std::int64_t maxCount = step.mostPerWorker > 0 ? std::min(step.mostPerWorker, members * maxFits) : members * maxFits;
+        byRack[step.sameRack ? worker.rack : ""] += countFitting(worker.free, step.each, maxCount);
     }
     std::int64_t fits = 0;
     for (const auto& [rack, count] : byRack)
         fits += count / members;
-    return std::min(fits, enough);
+    return std::min(fits, maxFits);
 }
 
 } // namespace rattan::tasks::testing
--- a/src/tasks/testing/lost_work_detector.h
+++ b/src/tasks/testing/lost_work_detector.h
@@ -7,8 +7,8 @@
 // It is shown what workers do, not what a planner believes. Room that is only just free
 // counts as well, so a planner has to see it within that while.
 //
-//     LostWorkJudge judge;
-//     if (isCalm) judge.look(view, broken); else judge.disturbed();
+//     LostWorkDetector detector;
+//     if (isCalm) detector.check(view, violations); else detector.reset();
 //
 // Told of a disturbance it begins anew: while workers are out of reach, nobody can know
 // what runs there.
@@ -25,9 +25,9 @@
 
 namespace rattan::tasks::testing {
 
-class LostWorkJudge {
+class LostWorkDetector {
 public:
-    struct Place {
+    struct WorkerCapacity {
         std::string id;
         std::string service;
         std::string rack;
@@ -37,27 +37,27 @@
 
     struct View {
         Millis now { 0 };
-        std::vector<Place> places; // Workers that can take work.
+        std::vector<WorkerCapacity> workers; // Workers that can take work.
         std::int64_t accelerators { 0 }; // Of all workers that are present,
-        std::int64_t used { 0 }; // and in use there.
+        std::int64_t usedAccelerators { 0 }; // and in use there.
         std::set<TaskRef> running;
         std::vector<const Job*> jobs; // That are to be done.
         std::function<bool(const TaskRef&)> isDone; // Its run has ended well.
-        std::function<bool(const TaskRef&)> isListed; // A worker has told so.
+        std::function<bool(const TaskRef&)> isReportedDone; // A worker has told so.
         std::function<bool(const UnitKey&, const std::string& worker)> hasFailedOn;
     };
 
-    void look(const View&, std::vector<std::string>& broken);
-    void disturbed() { this->since.clear(); }
+    void check(const View&, std::vector<std::string>& violations);
+    void reset() { this->lostSince.clear(); }
 
 private:
-    static constexpr Millis longest = 3000;
+    static constexpr Millis maxIdleTime = 3000;
 
-    static std::vector<UnitKey> dueUnits(const Job&, const View&);
+    static std::vector<UnitKey> readyUnits(const Job&, const View&);
     static std::int64_t countFits(const Job&, const UnitKey&, const View&);
 
-    std::map<std::string, Millis> since; // When what is wrong with a job was first seen.
-    std::set<std::string> told;
+    std::map<std::string, Millis> lostSince; // When what is wrong with a job was first seen.
+    std::set<std::string> reportedJobs;
 };
 
 } // namespace rattan::tasks::testing
--- a/src/tasks/testing/spreading_test.cc
+++ b/src/tasks/testing/spreading_test.cc
@@ -26,7 +26,7 @@
         site.run(3000);
         for (const auto& [worker, tasks] : this->hosts(site, "a", 24))
             CPPUNIT_ASSERT_EQUAL(2, tasks);
-        CPPUNIT_ASSERT(site.broken.empty());
+        CPPUNIT_ASSERT(site.violations.empty());
     }
 
     void stepsSpreadEachForItself()
--- a/src/tasks/testing/stop_before_start_test.cc
+++ b/src/tasks/testing/stop_before_start_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-Job job(const std::string& id)
+Job createJob(const std::string& id)
 {
     Job result;
     result.id = id;
@@ -22,46 +22,46 @@
     return result;
 }
 
-std::string placedOn(const VirtualSite& site)
+std::string workerOfPlacedUnit(const VirtualSite& site)
 {
     const auto placed = std::find_if(site.planEvents.begin(), site.planEvents.end(), [](const PlanEvent& event) { return event.kind == PlanEventKind::UnitPlaced; });
     return placed == site.planEvents.end() ? "" : placed->worker;
 }
 
-class LateStopTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(LateStopTest);
-    CPPUNIT_TEST(aRunThatWasStoppedBeforeItsStartIsSettledWithFewTurns);
-    CPPUNIT_TEST(aRunThatWasStoppedBeforeItsStartIsSettledWithManyTurns);
+class StopBeforeStartTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(StopBeforeStartTest);
+    CPPUNIT_TEST(stopBeforeStartEndsTheRunWithFewPlannerTurns);
+    CPPUNIT_TEST(stopBeforeStartEndsTheRunWithManyPlannerTurns);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Guards against a task that waits for ever for the end of a run that never began.
-    void aRunThatWasStoppedBeforeItsStartIsSettledWithFewTurns() { this->stopBeforeStart(1000); }
-    void aRunThatWasStoppedBeforeItsStartIsSettledWithManyTurns() { this->stopBeforeStart(250); }
+    void stopBeforeStartEndsTheRunWithFewPlannerTurns() { this->stopBeforeStart(1000); }
+    void stopBeforeStartEndsTheRunWithManyPlannerTurns() { this->stopBeforeStart(250); }
 
 private:
-    void stopBeforeStart(Millis gap)
+    void stopBeforeStart(Millis plannerInterval)
     {
         VirtualSite site({ .seed = 38, .workers = 4, .failures = 0 });
         site.newPlanner();
         site.run(2000);
-        site.planEvery(gap);
+        site.setPlannerInterval(plannerInterval);
         site.delayStarts(100);
-        site.submit(job("j"));
-        while (site.now < 6000 && placedOn(site).empty())
+        site.submit(createJob("j"));
+        while (site.now < 6000 && workerOfPlacedUnit(site).empty())
             site.run(site.now + 5);
-        CPPUNIT_ASSERT(!placedOn(site).empty());
+        CPPUNIT_ASSERT(!workerOfPlacedUnit(site).empty());
         site.run(site.now + 100); // It is recorded by now, and the start is decided.
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.runsOf("j"));
-        site.leave(placedOn(site));
-        site.run(site.now + gap + 200);
+        site.leave(workerOfPlacedUnit(site));
+        site.run(site.now + plannerInterval + 200);
         site.delayStarts(0);
-        site.runUntilOver(site.now + 25000);
-        CPPUNIT_ASSERT_MESSAGE(site.broken.empty() ? "" : site.broken.front(), site.broken.empty());
-        CPPUNIT_ASSERT(site.allOver());
+        site.runUntilFinished(site.now + 25000);
+        CPPUNIT_ASSERT_MESSAGE(site.violations.empty() ? "" : site.violations.front(), site.violations.empty());
+        CPPUNIT_ASSERT(site.allFinished());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LateStopTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(StopBeforeStartTest);
 
 } // namespace
--- a/src/tasks/testing/takeover_test.cc
+++ b/src/tasks/testing/takeover_test.cc
@@ -16,13 +16,13 @@
 
 class TakeoverTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TakeoverTest);
-    CPPUNIT_TEST(anEndThatOnlyThePlanTells);
-    CPPUNIT_TEST(anEndThatOnlyTheStateTells);
-    CPPUNIT_TEST(aPlanGoesOnlyWhenTheEndIsRecorded);
-    CPPUNIT_TEST(crashesThatAreEnoughAreNotForgotten);
-    CPPUNIT_TEST(aRunThatIsNearlyDoneIsNotStoppedAsIfItHadJustBegun);
-    CPPUNIT_TEST(ofRunsOfTheEarlierPlannerTheYoungestIsStopped);
-    CPPUNIT_TEST(aGangIsAsOldAsItsMemberWithMostWork);
+    CPPUNIT_TEST(endRecordedOnlyInProgressIsCompleted);
+    CPPUNIT_TEST(endRecordedOnlyInStateIsFinal);
+    CPPUNIT_TEST(progressIsRemovedOnlyAfterTheEndIsRecorded);
+    CPPUNIT_TEST(crashLimitSurvivesTakeover);
+    CPPUNIT_TEST(nearlyFinishedRunIsNotEvictedAfterTakeover);
+    CPPUNIT_TEST(youngestRunOfEarlierPlannerIsEvicted);
+    CPPUNIT_TEST(gangAgeFollowsItsLongestMember);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -38,7 +38,7 @@
 
     // Guards against a job that runs again, or is never shown as over, because its planner
     // died between its two records of the end.
-    void anEndThatOnlyThePlanTells()
+    void endRecordedOnlyInProgressIsCompleted()
     {
         this->plans.apply("progress/a", encodeProgress({ .state = JobState::Completed, .started = true }), 2);
         TaskPlanner planner({}, this->table, this->plans, now, now);
@@ -46,10 +46,10 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), planner.waiting());
         const Orders orders = planner.take(now);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), orders.batches.size());
-        CPPUNIT_ASSERT(this->tells(orders.batches[0].jobs, "state/a", encodeState(JobState::Completed)));
+        CPPUNIT_ASSERT(this->contains(orders.batches[0].jobs, "state/a", encodeState(JobState::Completed)));
     }
 
-    void anEndThatOnlyTheStateTells()
+    void endRecordedOnlyInStateIsFinal()
     {
         this->table.apply("state/a", encodeState(JobState::Completed), 2, now);
         this->plans.apply("progress/a", encodeProgress({ .state = JobState::Running, .started = true }), 3);
@@ -59,109 +59,109 @@
         CPPUNIT_ASSERT(planner.take(now).batches.empty());
     }
 
-    void aPlanGoesOnlyWhenTheEndIsRecorded()
+    void progressIsRemovedOnlyAfterTheEndIsRecorded()
     {
         TaskPlanner planner({}, this->table, this->plans, now, now);
         planner.jobCancelled(job, now);
         const Orders first = planner.take(now);
-        CPPUNIT_ASSERT(this->tells(first.batches.at(0).plans, "progress/a", encodeProgress({ .state = JobState::Cancelled, .reason = "cancelled by its caller" })));
+        CPPUNIT_ASSERT(this->contains(first.batches.at(0).plans, "progress/a", encodeProgress({ .state = JobState::Cancelled, .reason = "cancelled by its caller" })));
         planner.recorded(first.batches[0].number, now);
         planner.forget({ job });
         const Orders second = planner.take(now + 10);
-        CPPUNIT_ASSERT(this->tells(second.batches.at(0).plans, "progress/a", ""));
+        CPPUNIT_ASSERT(this->contains(second.batches.at(0).plans, "progress/a", ""));
     }
 
     // Guards against one more start of a task that crashes its workers, because its planner
     // died after the record of the last crash and before it gave the job up.
-    void crashesThatAreEnoughAreNotForgotten()
+    void crashLimitSurvivesTakeover()
     {
         UnitProgress unit { .run = 2, .crashes = { { 1, 0, CrashEvidence::Early }, { 2, 0, CrashEvidence::Alone } }, .suspect = true };
         this->plans.apply("progress/a", encodeProgress({ .state = JobState::Running, .started = true, .units = { unit } }), 2);
         TaskPlanner planner({}, this->table, this->plans, now, now);
         planner.step(now, now);
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), planner.waiting());
-        CPPUNIT_ASSERT(this->tells(planner.take(now).batches.at(0).jobs, "state/a", encodeState(JobState::Failed)));
+        CPPUNIT_ASSERT(this->contains(planner.take(now).batches.at(0).jobs, "state/a", encodeState(JobState::Failed)));
     }
 
     // Guards against work of seconds that is thrown away after a takeover, since the planner that
     // follows knows nothing of the time before it.
-    void aRunThatIsNearlyDoneIsNotStoppedAsIfItHadJustBegun()
+    void nearlyFinishedRunIsNotEvictedAfterTakeover()
     {
         VirtualSite site({ .seed = 3, .workers = 1, .failures = 0 });
         site.newPlanner();
-        site.submit(patient("old", whole, 10000));
+        site.submit(createJob("old", wholeWorker, 10000));
         site.run(10000);
         site.newPlanner();
-        Job hurried = patient("hurried", whole, 6000);
-        hurried.terms.priority = 1;
-        site.submit(hurried);
-        CPPUNIT_ASSERT(site.runUntilOver(30000));
+        Job higherPriority = createJob("hurried", wholeWorker, 6000);
+        higherPriority.terms.priority = 1;
+        site.submit(higherPriority);
+        CPPUNIT_ASSERT(site.runUntilFinished(30000));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, site.runsOf("old"));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.countEnds(RunEnd::Stopped));
-        CPPUNIT_ASSERT_MESSAGE(site.broken.empty() ? "" : site.broken.front(), site.broken.empty());
+        CPPUNIT_ASSERT_MESSAGE(site.violations.empty() ? "" : site.violations.front(), site.violations.empty());
     }
 
     // Guards against a choice by chance among runs that all seem to have begun at the takeover.
-    void ofRunsOfTheEarlierPlannerTheYoungestIsStopped()
+    void youngestRunOfEarlierPlannerIsEvicted()
     {
         for (std::uint64_t seed = 1; seed <= 8; ++seed) {
             VirtualSite site({ .seed = seed, .workers = 2, .failures = 0 });
             site.newPlanner();
-            site.submit(patient("old", whole, 10000));
+            site.submit(createJob("old", wholeWorker, 10000));
             site.run(6000);
-            site.submit(patient("young", whole, 10000));
+            site.submit(createJob("young", wholeWorker, 10000));
             site.run(7000);
             site.newPlanner();
             site.run(7500);
-            Job urgent = patient("urgent", whole, 1000);
+            Job urgent = createJob("urgent", wholeWorker, 1000);
             urgent.terms.priority = 0;
             site.submit(urgent);
-            CPPUNIT_ASSERT(site.runUntilOver(40000));
+            CPPUNIT_ASSERT(site.runUntilFinished(40000));
             CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, site.runsOf("old"));
             CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, site.runsOf("young"));
         }
     }
 
     // Guards against a gang that seems through because a member with little work is.
-    void aGangIsAsOldAsItsMemberWithMostWork()
+    void gangAgeFollowsItsLongestMember()
     {
         for (std::uint64_t seed = 1; seed <= 8; ++seed) {
             VirtualSite site({ .seed = seed, .workers = 3, .failures = 0, .uneven = true });
             site.newPlanner();
-            site.submit(patient("old", whole, 10000));
+            site.submit(createJob("old", wholeWorker, 10000));
             site.run(5000);
-            Job gang = patient("gang", whole, 10000);
+            Job gang = createJob("gang", wholeWorker, 10000);
             gang.steps.front().count = 2;
             gang.steps.front().gang = true;
             site.submit(gang);
             site.run(7500);
             site.newPlanner();
             site.run(8000);
-            Job urgent = patient("urgent", whole, 1000);
+            Job urgent = createJob("urgent", wholeWorker, 1000);
             urgent.terms.priority = 0;
             urgent.workspace = "";
             site.submit(urgent);
-            CPPUNIT_ASSERT(site.runUntilOver(40000));
+            CPPUNIT_ASSERT(site.runUntilFinished(40000));
             CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, site.runsOf("old"));
             CPPUNIT_ASSERT_EQUAL(std::int64_t { 4 }, site.runsOf("gang"));
         }
     }
 
 private:
-    static constexpr Room whole { 10000, 10000, 8 };
+    static constexpr Room wholeWorker { 10000, 10000, 8 };
 
-    static Job patient(const std::string& id, Room each, Millis time)
+    static Job createJob(const std::string& id, Room each, Millis estimate)
     {
         Job result;
         result.id = id;
         result.workspace = "a";
         result.terms = { .queue = "q", .service = "s", .priority = 2, .mostAttempts = 4, .stretch = 1, .latencyTarget = 1000 };
         result.text = "work";
-        result.steps.push_back({ .count = 1, .each = each, .estimate = time });
+        result.steps.push_back({ .count = 1, .each = each, .estimate = estimate });
         return result;
     }
 
-    bool tells(const RecordBatch::Records& records, const std::string& key, const std::string& value) const
+    bool contains(const RecordBatch::Records& records, const std::string& key, const std::string& value) const
     {
         return std::any_of(records.begin(), records.end(), [&](const auto& row) { return row.first == key && row.second == value; });
     }
--- a/src/tasks/testing/task_planner_polls_test.cc
+++ b/src/tasks/testing/task_planner_polls_test.cc
@@ -27,7 +27,7 @@
 
 void assertSound(const VirtualSite& site)
 {
-    CPPUNIT_ASSERT_MESSAGE(site.broken.empty() ? "" : site.broken.front(), site.broken.empty());
+    CPPUNIT_ASSERT_MESSAGE(site.violations.empty() ? "" : site.violations.front(), site.violations.empty());
 }
 
 class TaskPlannerPollsTest : public CppUnit::TestFixture {
@@ -46,12 +46,12 @@
         VirtualSite site({ .seed = 35, .workers = 150, .failures = 0 });
         site.newPlanner();
         site.run(2000);
-        site.planEvery(900);
+        site.setPlannerInterval(900);
         site.submit(job("long", 150, half, 20000));
         for (int i = 0; i < 20; ++i)
             site.submit(job("short" + std::to_string(i), 300, one, 1000));
-        site.runUntilOver(90000);
-        CPPUNIT_ASSERT(site.allOver());
+        site.runUntilFinished(90000);
+        CPPUNIT_ASSERT(site.allFinished());
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.countEnds(RunEnd::Lapsed));
         assertSound(site);
     }
@@ -66,7 +66,7 @@
         site.submit(job("busy", 100, whole, 30000));
         site.run(6000);
         site.newPlanner();
-        site.planEvery(250);
+        site.setPlannerInterval(250);
         site.submit(job("waiting", 100, whole, 30000));
         constexpr Millis soon = 4000;
         site.run(site.now + soon);
@@ -82,8 +82,8 @@
         site.submit(job("j1", 4, whole, 2000));
         site.run(2500);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 4 }, site.runsOf("j1"));
-        site.holdPlanner(site.now + 9000);
-        CPPUNIT_ASSERT(site.runUntilOver(20000));
+        site.pausePlanner(site.now + 9000);
+        CPPUNIT_ASSERT(site.runUntilFinished(20000));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 4 }, site.runsOf("j1"));
         for (const PlanEvent& event : site.planEvents)
             CPPUNIT_ASSERT(event.kind != PlanEventKind::RunLost);
--- a/src/tasks/testing/task_planner_random_test.cc
+++ b/src/tasks/testing/task_planner_random_test.cc
@@ -57,9 +57,9 @@
             this->site.run(this->site.now + this->below(400) + 50);
         }
         this->calm();
-        const bool over = this->site.runUntilOver(this->site.now + 180000);
+        const bool over = this->site.runUntilFinished(this->site.now + 180000);
         if (!over)
-            this->site.broken.emplace_back("jobs that never end");
+            this->site.violations.emplace_back("jobs that never end");
     }
 
     VirtualSite site;
@@ -96,7 +96,7 @@
             job.steps.push_back(step);
         }
         if (this->hasCrashes && this->below(10) == 0)
-            this->site.crashesWorkers(job.id, 10 + this->below(3) * 600);
+            this->site.crashWorkersRunning(job.id, 10 + this->below(3) * 600);
         this->site.submit(job);
         if (this->below(12) == 0)
             this->site.cancel(job.id);
@@ -111,22 +111,22 @@
         }
         switch (this->below(14)) {
         case 0:
-            this->site.cut(this->worker(), true);
+            this->site.setPartitioned(this->worker(), true);
             break;
         case 1:
         case 2:
             for (int i = 0; i < 12; ++i)
-                this->site.cut(fmt::format("w{:02}", i), false);
+                this->site.setPartitioned(fmt::format("w{:02}", i), false);
             break;
         case 3:
             this->site.restart(this->worker());
             break;
         case 4:
-            this->site.stall(this->worker(), true);
+            this->site.setStalled(this->worker(), true);
             break;
         case 5:
             for (int i = 0; i < 12; ++i)
-                this->site.stall(fmt::format("w{:02}", i), false);
+                this->site.setStalled(fmt::format("w{:02}", i), false);
             break;
         case 6:
             this->site.killPlanner();
@@ -142,8 +142,8 @@
     void calm()
     {
         for (int i = 0; i < 12; ++i) {
-            this->site.cut(fmt::format("w{:02}", i), false);
-            this->site.stall(fmt::format("w{:02}", i), false);
+            this->site.setPartitioned(fmt::format("w{:02}", i), false);
+            this->site.setStalled(fmt::format("w{:02}", i), false);
             if (this->hasCrashes)
                 this->site.resize(fmt::format("w{:02}", i), { 128000, 512000, 8 });
         }
@@ -161,9 +161,9 @@
 std::string play(std::uint64_t seed, const std::string& traced)
 {
     Course course(seed);
-    course.site.traced = traced;
+    course.site.tracedJob = traced;
     course.play();
-    const auto& broken = course.site.broken;
+    const auto& broken = course.site.violations;
     if (broken.empty())
         return {};
     if (!traced.empty())
--- a/src/tasks/testing/task_planner_reports_test.cc
+++ b/src/tasks/testing/task_planner_reports_test.cc
@@ -65,7 +65,7 @@
         site.run(2000);
         site.submit(patientJob("first", 4, 20000));
         site.run(4000);
-        site.cut("w00", true);
+        site.setPartitioned("w00", true);
         site.submit(patientJob("second", 2, 500));
         site.run(9000);
         const std::vector<std::string> details = waitsOf(site, "second");
@@ -80,7 +80,7 @@
         site.newPlanner();
         site.submit(patientJob("first", 4, 1000));
         site.submit(patientJob("second", 4, 1000));
-        CPPUNIT_ASSERT(site.runUntilOver(10000));
+        CPPUNIT_ASSERT(site.runUntilFinished(10000));
         CPPUNIT_ASSERT(waitsOf(site, "first").empty() && waitsOf(site, "second").empty());
     }
 };
--- a/src/tasks/testing/task_planner_test.cc
+++ b/src/tasks/testing/task_planner_test.cc
@@ -36,7 +36,7 @@
 
 void assertSound(const VirtualSite& site)
 {
-    CPPUNIT_ASSERT_MESSAGE(site.broken.empty() ? "" : site.broken.front(), site.broken.empty());
+    CPPUNIT_ASSERT_MESSAGE(site.violations.empty() ? "" : site.violations.front(), site.violations.empty());
 }
 
 class TaskPlannerTest : public CppUnit::TestFixture {
@@ -83,7 +83,7 @@
         VirtualSite site({ .seed = 1, .failures = 0 });
         site.newPlanner();
         site.submit(job("j1", 20, one, 2000));
-        CPPUNIT_ASSERT(site.runUntilOver(10000));
+        CPPUNIT_ASSERT(site.runUntilFinished(10000));
         CPPUNIT_ASSERT(site.stateOf("j1") == JobState::Completed);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 20 }, site.runsOf("j1"));
         assertSound(site);
@@ -97,7 +97,7 @@
         chain.steps.push_back({ .count = 2, .each = one, .estimate = 500, .dependsOn = { 0 } });
         chain.steps.push_back({ .count = 1, .each = one, .estimate = 500, .dependsOn = { 0, 1 } });
         site.submit(chain);
-        CPPUNIT_ASSERT(site.runUntilOver(20000));
+        CPPUNIT_ASSERT(site.runUntilFinished(20000));
         CPPUNIT_ASSERT(site.stateOf("j1") == JobState::Completed);
         assertSound(site);
     }
@@ -107,7 +107,7 @@
         VirtualSite site({ .seed = 3, .failures = 0 });
         site.newPlanner();
         site.submit(gang("g1", 8, whole, 2000));
-        CPPUNIT_ASSERT(site.runUntilOver(10000));
+        CPPUNIT_ASSERT(site.runUntilFinished(10000));
         CPPUNIT_ASSERT(site.stateOf("g1") == JobState::Completed);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.countEnds(RunEnd::Alone));
         assertSound(site);
@@ -126,7 +126,7 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.runsOf("j1"));
         site.run(5000);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, site.runsOf("j1"));
-        CPPUNIT_ASSERT(site.runUntilOver(12000));
+        CPPUNIT_ASSERT(site.runUntilFinished(12000));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 3 }, site.runsOf("j1"));
         assertSound(site);
     }
@@ -136,7 +136,7 @@
         VirtualSite site({ .seed = 5, .failures = 1 });
         site.newPlanner();
         site.submit(job("j1", 1, one, 400));
-        CPPUNIT_ASSERT(site.runUntilOver(60000));
+        CPPUNIT_ASSERT(site.runUntilFinished(60000));
         CPPUNIT_ASSERT(site.stateOf("j1") == JobState::Failed);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 4 }, site.runsOf("j1"));
         assertSound(site);
@@ -238,7 +238,7 @@
         site.killPlanner();
         site.run(4400);
         site.newPlanner();
-        CPPUNIT_ASSERT(site.runUntilOver(20000));
+        CPPUNIT_ASSERT(site.runUntilFinished(20000));
         CPPUNIT_ASSERT(site.stateOf("j1") == JobState::Completed);
         CPPUNIT_ASSERT(site.stateOf("g1") == JobState::Completed);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 20 }, site.runsOf("j1"));
@@ -254,10 +254,10 @@
         site.newPlanner();
         site.submit(job("j1", 4, whole, 9000));
         site.run(2000);
-        site.cut("w00", true);
+        site.setPartitioned("w00", true);
         site.run(7000);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 4 }, site.runsOf("j1"));
-        CPPUNIT_ASSERT(site.runUntilOver(40000));
+        CPPUNIT_ASSERT(site.runUntilFinished(40000));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 5 }, site.runsOf("j1"));
         assertSound(site);
     }
@@ -278,7 +278,7 @@
         site.run(5000);
         const std::string host = site.hostOf("j1", 0);
         site.run(11100); // The start was sent three times, the last time three seconds after its decision.
-        site.cut(host, true);
+        site.setPartitioned(host, true);
         site.delayStarts(0);
         site.run(30000);
         CPPUNIT_ASSERT(site.runsOf("j1") > 1);
@@ -295,7 +295,7 @@
         site.submit(job("j1", 1, whole, 60000));
         site.run(3000);
         const std::string host = site.hostOf("j1", 0);
-        site.cut(host, true);
+        site.setPartitioned(host, true);
         site.newPlanner();
         site.run(3900);
         site.renewByEarlierPlanner(host);
@@ -311,7 +311,7 @@
         site.submit(job("j1", 4, whole, 5000));
         site.run(3000);
         site.restart("w01");
-        CPPUNIT_ASSERT(site.runUntilOver(30000));
+        CPPUNIT_ASSERT(site.runUntilFinished(30000));
         CPPUNIT_ASSERT(site.stateOf("j1") == JobState::Completed);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 5 }, site.runsOf("j1"));
         assertSound(site);
@@ -326,7 +326,7 @@
         site.newPlanner();
         site.run(2000);
         for (const char* worker : { "w08", "w09", "w10", "w11" })
-            site.cut(worker, true);
+            site.setPartitioned(worker, true);
         constexpr int jobs = 8;
         for (int i = 0; i < jobs; ++i) {
             site.submit(job(fmt::format("j{}", i), 1, whole, 1000, 0));
@@ -337,7 +337,7 @@
         for (int i = 0; i < jobs; ++i)
             late += site.stateOf(fmt::format("j{}", i)) == JobState::Completed ? 0 : 1;
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} late", late), late <= 2);
-        CPPUNIT_ASSERT(site.runUntilOver(60000));
+        CPPUNIT_ASSERT(site.runUntilFinished(60000));
         assertSound(site);
     }
 
@@ -352,7 +352,7 @@
         site.submit(job("j1", 1, one, 100));
         site.run(2200);
         site.loseAnswers(0);
-        CPPUNIT_ASSERT(site.runUntilOver(10000));
+        CPPUNIT_ASSERT(site.runUntilFinished(10000));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, site.runsOf("j1"));
         assertSound(site);
     }
@@ -364,9 +364,9 @@
         VirtualSite site({ .seed = 58, .failures = 0 });
         site.newPlanner();
         site.run(2000);
-        site.keepBack(2);
+        site.suppressNextStarts(2);
         site.submit(gang("g1", 8, whole, 1000));
-        CPPUNIT_ASSERT(site.runUntilOver(10000));
+        CPPUNIT_ASSERT(site.runUntilFinished(10000));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 8 }, site.runsOf("g1"));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.countEnds(RunEnd::Stopped));
         assertSound(site);
@@ -384,7 +384,7 @@
             VirtualSite site({ .seed = seed, .lostOrders = 0.05, .lostAnswers = 0.05, .failures = 0 });
             site.newPlanner();
             site.submit(gang("g1", members, whole, 2000, 0));
-            CPPUNIT_ASSERT(site.runUntilOver(30000));
+            CPPUNIT_ASSERT(site.runUntilFinished(30000));
             assertSound(site);
             runs += site.runsOf("g1");
         }
@@ -408,7 +408,7 @@
             site.restart("w01");
             for (int i = 0; i < 12; ++i)
                 site.submit(job(fmt::format("next{}", i), 1, one, 30));
-            CPPUNIT_ASSERT(site.runUntilOver(30000));
+            CPPUNIT_ASSERT(site.runUntilFinished(30000));
             assertSound(site);
             for (int i = 0; i < 12; ++i)
                 CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, site.runsOf(fmt::format("next{}", i)));
@@ -420,10 +420,10 @@
     void aStalledWorkerLosesItsTasks()
     {
         VirtualSite site({ .seed = 11, .workers = 4, .failures = 0 });
-        site.stall("w02", true);
+        site.setStalled("w02", true);
         site.newPlanner();
         site.submit(job("j1", 4, whole, 4000));
-        CPPUNIT_ASSERT(site.runUntilOver(30000));
+        CPPUNIT_ASSERT(site.runUntilFinished(30000));
         CPPUNIT_ASSERT(site.stateOf("j1") == JobState::Completed);
         assertSound(site);
     }
@@ -436,7 +436,7 @@
         VirtualSite site({ .seed = 15, .workers = 4, .failures = 0, .uneven = true });
         site.newPlanner();
         site.submit(gang("g1", 4, whole, 10000));
-        CPPUNIT_ASSERT(site.runUntilOver(20000));
+        CPPUNIT_ASSERT(site.runUntilFinished(20000));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 4 }, site.runsOf("g1"));
         assertSound(site);
     }
@@ -454,8 +454,8 @@
         CPPUNIT_ASSERT(!first.empty());
         const std::string second = site.hostOf("g1", 1);
         CPPUNIT_ASSERT(!second.empty());
-        site.stall(first, true);
-        site.stall(second, true);
+        site.setStalled(first, true);
+        site.setStalled(second, true);
         constexpr Millis noticed = 14000; // The third member goes on for eight seconds.
         site.run(noticed);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 6 }, site.runsOf("g1"));
@@ -536,7 +536,7 @@
         site.newPlanner();
         for (int i = 0; i < 12; ++i)
             site.submit(job("j" + std::to_string(i), 4, half, 1000));
-        CPPUNIT_ASSERT(site.runUntilOver(60000));
+        CPPUNIT_ASSERT(site.runUntilFinished(60000));
         for (int i = 0; i < 12; ++i)
             CPPUNIT_ASSERT(site.stateOf("j" + std::to_string(i)) == JobState::Completed);
         assertSound(site);
@@ -602,11 +602,11 @@
         site.submit(wide);
         site.submit(together);
         site.submit(job("free", 5, one, 1000));
-        CPPUNIT_ASSERT(site.runUntilOver(20000));
+        CPPUNIT_ASSERT(site.runUntilFinished(20000));
         for (const char* id : { "wide", "together", "free" })
             CPPUNIT_ASSERT(site.stateOf(id) == JobState::Completed);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.refusedTickets);
-        CPPUNIT_ASSERT(site.adviceAsked <= 24 * 3); // Each worker once for each step, but for lost answers.
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.startsWithoutTicket);
+        CPPUNIT_ASSERT(site.workersInAdviceRequests <= 24 * 3); // Each worker once for each step, but for lost answers.
         assertSound(site);
     }
 
@@ -617,10 +617,10 @@
         Job waves = job("waves", 6, whole, 1500);
         waves.terms.advice = { 20, 3, 2500 };
         site.submit(waves);
-        CPPUNIT_ASSERT(site.runUntilOver(30000));
+        CPPUNIT_ASSERT(site.runUntilFinished(30000));
         CPPUNIT_ASSERT(site.stateOf("waves") == JobState::Completed);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.refusedTickets);
-        CPPUNIT_ASSERT(site.adviceAsked > 2);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.startsWithoutTicket);
+        CPPUNIT_ASSERT(site.workersInAdviceRequests > 2);
         assertSound(site);
     }
 
@@ -639,7 +639,7 @@
             site.run(site.now + 50);
         for (const char* id : { "w00", "w02" })
             site.failAll(id, false);
-        CPPUNIT_ASSERT(site.runUntilOver(site.now + 60000));
+        CPPUNIT_ASSERT(site.runUntilFinished(site.now + 60000));
         CPPUNIT_ASSERT(site.stateOf("g1") == JobState::Completed);
         assertSound(site);
     }
@@ -656,7 +656,7 @@
         site.run(2200);
         site.newPlanner();
         site.restart("w02");
-        CPPUNIT_ASSERT(site.runUntilOver(60000));
+        CPPUNIT_ASSERT(site.runUntilFinished(60000));
         CPPUNIT_ASSERT(isFinal(site.stateOf("wide")));
         assertSound(site);
     }
--- a/src/tasks/testing/virtual_site.cc
+++ b/src/tasks/testing/virtual_site.cc
@@ -7,13 +7,13 @@
 
 void VirtualSite::newPlanner()
 {
-    this->disturb();
+    this->recordFault();
     this->planner.reset();
     ++this->term;
-    ++this->generation;
+    ++this->plannerGeneration;
     PlannerOptions planning;
     planning.longestLease = this->options.lease;
-    planning.stopTimeout = this->options.stopTime;
+    planning.stopTimeout = this->options.maxStopTime;
     planning.advised = true;
     this->planner = std::make_unique<TaskPlanner>(planning, this->table, this->plans, this->now, this->now);
     this->planner->applyCatalog(this->catalog);
@@ -23,7 +23,7 @@
 void VirtualSite::killPlanner()
 {
     this->planner.reset();
-    ++this->generation;
+    ++this->plannerGeneration;
 }
 
 void VirtualSite::submit(Job job)
@@ -51,18 +51,18 @@
     }
 }
 
-bool VirtualSite::runUntilOver(Millis until)
+bool VirtualSite::runUntilFinished(Millis until)
 {
     while (this->now < until) {
-        if (this->allOver())
+        if (this->allFinished())
             return true;
         this->advance();
         this->now += stepMillis;
     }
-    return this->allOver();
+    return this->allFinished();
 }
 
-bool VirtualSite::allOver() const
+bool VirtualSite::allFinished() const
 {
     for (const auto& [id, job] : this->jobs) {
         if (!isFinal(this->stateOf(id)))
@@ -79,8 +79,8 @@
 
 std::int64_t VirtualSite::runsOf(const std::string& id) const
 {
-    const auto found = this->starts.find(id);
-    return found == this->starts.end() ? 0 : found->second;
+    const auto found = this->startCounts.find(id);
+    return found == this->startCounts.end() ? 0 : found->second;
 }
 
 std::string VirtualSite::hostOf(const std::string& job, std::int64_t index) const
@@ -96,23 +96,23 @@
 
 std::int64_t VirtualSite::countEnds(RunEnd end) const
 {
-    const auto found = this->ends.find(end);
-    return found == this->ends.end() ? 0 : found->second;
+    const auto found = this->endCounts.find(end);
+    return found == this->endCounts.end() ? 0 : found->second;
 }
 
-void VirtualSite::relist()
+void VirtualSite::publishWorkers()
 {
     if (this->planner)
         this->planner->workersSeen(this->sightings(), this->now);
 }
 
-void VirtualSite::advise(const AdviceOrder& order)
+void VirtualSite::answerAdvice(const AdviceOrder& order)
 {
-    this->adviceAsked += static_cast<std::int64_t>(order.workers.size());
-    const Millis takes = order.terms.each + order.terms.perWorker * static_cast<Millis>(order.workers.size());
-    const bool isLost = this->chance() < this->options.lostAdvice;
-    this->at(this->now + takes, [this, order, isLost, mine = this->generation] {
-        if (mine != this->generation || !this->planner)
+    this->workersInAdviceRequests += static_cast<std::int64_t>(order.workers.size());
+    const Millis duration = order.terms.each + order.terms.perWorker * static_cast<Millis>(order.workers.size());
+    const bool isLost = this->randomShare() < this->options.lostAdvice;
+    this->schedule(this->now + duration, [this, order, isLost, generation = this->plannerGeneration] {
+        if (generation != this->plannerGeneration || !this->planner)
             return;
         if (isLost)
             return this->planner->adviceFailed(order.step, this->now);
@@ -133,30 +133,30 @@
         event();
     }
     for (auto& [id, worker] : this->workers)
-        this->work(id, worker);
-    this->judgeLostWork();
-    if (this->planner && this->now >= this->nextTurn)
-        this->plan();
+        this->advanceWorker(id, worker);
+    this->checkLostWork();
+    if (this->planner && this->now >= this->nextPlannerTurn)
+        this->runPlanner();
     else if (this->planner && this->pollsBetweenTurns && this->planner->hasPollsLeft())
-        this->pollLeftOver();
+        this->sendRemainingPolls();
 }
 
-void VirtualSite::pollLeftOver()
+void VirtualSite::sendRemainingPolls()
 {
     for (const PollOrder& order : this->planner->takePolls(this->now).polls)
         this->poll(order);
 }
 
-void VirtualSite::plan()
+void VirtualSite::runPlanner()
 {
-    this->nextTurn = this->now + this->turnGap;
+    this->nextPlannerTurn = this->now + this->plannerInterval;
     this->planner->step(this->now, this->now);
     if (this->planner->lastRound().kind == RoundKind::Whole)
-        this->planner->stepTook(this->roundTime, this->now + this->roundTime);
+        this->planner->stepTook(this->roundDuration, this->now + this->roundDuration);
     Orders orders = this->planner->take(this->now);
     this->planEvents.insert(this->planEvents.end(), orders.events.begin(), orders.events.end());
     for (const RecordBatch& batch : orders.batches)
-        this->record(batch);
+        this->storeRecords(batch);
     for (const StopOrder& order : orders.stops)
         this->stop(order);
     for (const StartOrder& order : orders.starts)
@@ -164,140 +164,140 @@
     for (const PollOrder& order : orders.polls)
         this->poll(order);
     for (const AdviceOrder& order : orders.advice)
-        this->advise(order);
+        this->answerAdvice(order);
     for (const std::string& problem : this->planner->violations())
-        this->broken.push_back("planner: " + problem);
+        this->violations.push_back("planner: " + problem);
     if (this->planner->deposed())
         this->killPlanner();
 }
 
-void VirtualSite::record(const RecordBatch& batch)
+void VirtualSite::storeRecords(const RecordBatch& batch)
 {
-    const int mine = this->generation;
-    const Millis jobsAt = this->now + this->recordsWait + this->between(5, 20);
-    const Millis plansAt = this->now + this->recordsWait + this->between(5, 20);
-    this->at(jobsAt, [this, batch, mine] {
+    const int generation = this->plannerGeneration;
+    const Millis jobsAt = this->now + this->recordDelay + this->randomBetween(5, 20);
+    const Millis plansAt = this->now + this->recordDelay + this->randomBetween(5, 20);
+    this->schedule(jobsAt, [this, batch, generation] {
         for (const auto& [key, value] : batch.jobs) {
-            if (mine != this->generation)
+            if (generation != this->plannerGeneration)
                 continue; // Its epoch was fenced before it arrived.
             this->write(key, value);
             const auto parsed = attempt([&, text = key] { return parseKey(text); });
             if (parsed.value && parsed.value->kind == RecordKind::State && this->stateOf(parsed.value->job) == JobState::Failed)
-                this->judgeFailed(parsed.value->job);
+                this->checkFailedJob(parsed.value->job);
         }
     });
-    this->at(plansAt, [this, batch, mine] {
+    this->schedule(plansAt, [this, batch, generation] {
         for (const auto& [key, value] : batch.plans) {
-            if (mine == this->generation)
+            if (generation == this->plannerGeneration)
                 this->plans.apply(key, value, this->offset++);
         }
     });
-    this->at(std::max(jobsAt, plansAt) + 1, [this, batch, mine] {
-        if (mine == this->generation)
+    this->schedule(std::max(jobsAt, plansAt) + 1, [this, batch, generation] {
+        if (generation == this->plannerGeneration)
             this->planner->recorded(batch.number, this->now);
     });
 }
 
-template <typename Carry, typename Answer>
-void VirtualSite::send(const std::string& id, Carry carry, Answer answer)
+template <typename Execute, typename Answer>
+void VirtualSite::send(const std::string& id, Execute execute, Answer answer)
 {
     constexpr Millis timeout = 230;
-    const int mine = this->generation;
-    const auto told = [this, mine, answer](auto reply, Millis when) {
-        this->at(when, [this, mine, answer, reply] {
-            if (mine == this->generation && this->planner)
+    const int generation = this->plannerGeneration;
+    const auto deliver = [this, generation, answer](auto reply, Millis when) {
+        this->schedule(when, [this, generation, answer, reply] {
+            if (generation == this->plannerGeneration && this->planner)
                 answer(reply);
         });
     };
-    using Reply = decltype(carry());
-    const double luck = this->chance();
+    using Reply = decltype(execute());
+    const double sample = this->randomShare();
     Worker& worker = this->workers.at(id);
-    const double lost = this->options.lostOrders;
-    const double deaf = lost + this->options.lostAnswers;
-    const double late = deaf + this->options.lateOrders;
+    const double lostThreshold = this->options.lostOrders;
+    const double lostAnswerThreshold = lostThreshold + this->options.lostAnswers;
+    const double lateThreshold = lostAnswerThreshold + this->options.lateOrders;
     if (worker.crashed) {
         constexpr Millis refusedAfter = 5;
-        told(Reply(), this->now + (worker.replaced ? refusedAfter : timeout));
-    } else if (worker.cut || luck < lost) {
-        told(Reply(), this->now + timeout);
-    } else if (luck < deaf) {
-        this->at(this->now + this->between(1, 8), [this, id, carry] {
+        deliver(Reply(), this->now + (worker.replaced ? refusedAfter : timeout));
+    } else if (worker.isPartitioned || sample < lostThreshold) {
+        deliver(Reply(), this->now + timeout);
+    } else if (sample < lostAnswerThreshold) {
+        this->schedule(this->now + this->randomBetween(1, 8), [this, id, execute] {
             if (!this->workers.at(id).crashed)
-                carry();
+                execute();
         });
-        told(Reply(), this->now + timeout);
-    } else if (luck < late) {
+        deliver(Reply(), this->now + timeout);
+    } else if (sample < lateThreshold) {
         // It waits at the worker, and is gone if that crashes meanwhile.
-        this->at(this->now + this->between(2000, 12000), [this, id, carry, born = worker.born] {
-            this->disturb();
+        this->schedule(this->now + this->randomBetween(2000, 12000), [this, id, execute, born = worker.born] {
+            this->recordFault();
             if (this->workers.at(id).born == born && !this->workers.at(id).crashed)
-                carry();
+                execute();
         });
-        told(Reply(), this->now + timeout);
+        deliver(Reply(), this->now + timeout);
     } else {
-        this->at(this->now + this->between(1, 8), [this, id, carry, told] {
-            if (!this->workers.at(id).cut && !this->workers.at(id).crashed)
-                told(carry(), this->now + this->between(1, 8));
+        this->schedule(this->now + this->randomBetween(1, 8), [this, id, execute, deliver] {
+            if (!this->workers.at(id).isPartitioned && !this->workers.at(id).crashed)
+                deliver(execute(), this->now + this->randomBetween(1, 8));
             else
-                told(Reply(), this->now + timeout);
+                deliver(Reply(), this->now + timeout);
         });
     }
 }
 
 void VirtualSite::start(const StartOrder& order)
 {
-    if (this->startsKeptBack > 0) {
-        --this->startsKeptBack;
-        this->at(this->now + 5, [this, order, mine = this->generation] {
-            if (mine == this->generation && this->planner)
+    if (this->suppressedStarts > 0) {
+        --this->suppressedStarts;
+        this->schedule(this->now + 5, [this, order, generation = this->plannerGeneration] {
+            if (generation == this->plannerGeneration && this->planner)
                 this->planner->startAnswered(order.worker, order.run, StartAnswer::NotSent, this->now);
         });
         return;
     }
-    if (this->startsWait == 0)
+    if (this->startDelay == 0)
         return this->sendStart(order);
-    this->at(this->now + this->startsWait, [this, order, mine = this->generation] {
-        if (mine == this->generation && this->planner)
+    this->schedule(this->now + this->startDelay, [this, order, generation = this->plannerGeneration] {
+        if (generation == this->plannerGeneration && this->planner)
             this->sendStart(order);
     });
 }
 
 void VirtualSite::sendStart(const StartOrder& order)
 {
-    this->tell(order.run, order.worker.id, "start sent");
+    this->traceRun(order.run, order.worker.id, "start sent");
     const std::int64_t term = this->term;
     const Millis until = order.decidedAt + this->options.lease;
-    if (const Millis wait = std::exchange(this->nextStartLate, 0); wait > 0) {
+    if (const Millis wait = std::exchange(this->nextStartDelay, 0); wait > 0) {
         constexpr Millis timeout = 230;
-        this->at(this->now + wait, [this, order, term, until] {
-            this->disturb();
-            this->carryStart(order, term, until);
+        this->schedule(this->now + wait, [this, order, term, until] {
+            this->recordFault();
+            this->executeStart(order, term, until);
         });
-        this->at(this->now + timeout, [this, order, mine = this->generation] {
-            if (mine == this->generation && this->planner)
+        this->schedule(this->now + timeout, [this, order, generation = this->plannerGeneration] {
+            if (generation == this->plannerGeneration && this->planner)
                 this->planner->startAnswered(order.worker, order.run, StartAnswer::NoAnswer, this->now);
         });
         return;
     }
-    const Millis again = std::exchange(this->nextStartTwice, 0);
-    if (again > 0) {
-        this->at(this->now + again, [this, order, term, until] {
-            this->disturb();
-            this->carryStart(order, term, until);
+    const Millis repeatDelay = std::exchange(this->nextStartRepeatDelay, 0);
+    if (repeatDelay > 0) {
+        this->schedule(this->now + repeatDelay, [this, order, term, until] {
+            this->recordFault();
+            this->executeStart(order, term, until);
         });
     }
     this->send(
-        order.worker.id, [this, order, term, until] { return std::optional(this->carryStart(order, term, until)); },
-        [this, order, again](const std::optional<StartAnswer>& answer) {
-            const StartAnswer without = this->workers.at(order.worker.id).replaced ? StartAnswer::OtherIncarnation : StartAnswer::NoAnswer;
-            const StartAnswer heard = answer.value_or(without);
-            this->planner->startAnswered(order.worker, order.run, again > 0 ? answerToRepeat(heard) : heard, this->now);
+        order.worker.id, [this, order, term, until] { return std::optional(this->executeStart(order, term, until)); },
+        [this, order, repeatDelay](const std::optional<StartAnswer>& answer) {
+            const StartAnswer defaultAnswer = this->workers.at(order.worker.id).replaced ? StartAnswer::OtherIncarnation : StartAnswer::NoAnswer;
+            const StartAnswer received = answer.value_or(defaultAnswer);
+            this->planner->startAnswered(order.worker, order.run, repeatDelay > 0 ? answerToRepeat(received) : received, this->now);
         });
 }
 
-void VirtualSite::tell(const RunRef& run, const std::string& worker, const char* what)
+void VirtualSite::traceRun(const RunRef& run, const std::string& worker, const char* what)
 {
-    if (run.task.job == this->traced)
+    if (run.task.job == this->tracedJob)
         this->trace.push_back(fmt::format("{} ms: {} {}.{} run {} on {}", this->now, what, run.task.step, run.task.index, run.run, worker));
 }
 
@@ -308,18 +308,18 @@
         order.worker.id,
         [this, order, term] {
             Worker& worker = this->workers.at(order.worker.id);
-            this->tell(order.run, order.worker.id, "stop arrives");
-            if (term < worker.token)
+            this->traceRun(order.run, order.worker.id, "stop arrives");
+            if (term < worker.highestTerm)
                 return std::optional(false);
-            worker.token = term;
-            std::int64_t& ceiling = worker.ceilings[order.run.task];
-            ceiling = std::max(ceiling, order.run.run);
+            worker.highestTerm = term;
+            std::int64_t& highestRefusedRun = worker.highestRefusedRuns[order.run.task];
+            highestRefusedRun = std::max(highestRefusedRun, order.run.run);
             const auto found = worker.running.find(order.run);
-            if (found != worker.running.end() && found->second.stopAt == 0)
-                found->second.stopAt = this->now + this->between(0, this->options.stopTime);
+            if (found != worker.running.end() && found->second.stopsAt == 0)
+                found->second.stopsAt = this->now + this->randomBetween(0, this->options.maxStopTime);
             return std::optional(true);
         },
-        [this, order](const std::optional<bool>& taken) { this->planner->stopAnswered(order.worker, order.run, taken.value_or(false), this->now); });
+        [this, order](const std::optional<bool>& stopped) { this->planner->stopAnswered(order.worker, order.run, stopped.value_or(false), this->now); });
 }
 
 void VirtualSite::poll(const PollOrder& order)
@@ -328,15 +328,15 @@
     const std::int64_t term = this->term;
     const Millis until = order.renews ? this->now + this->options.lease : 0;
     // A waiting poll is acted out by its answer alone: it is given after 100 ms.
-    constexpr Millis shortWait = 100;
-    this->at(this->now + (order.wait > 0 ? shortWait : 0), [this, order, term, until, sentAt, mine = this->generation] {
-        if (mine != this->generation)
+    constexpr Millis pollHoldTime = 100;
+    this->schedule(this->now + (order.wait > 0 ? pollHoldTime : 0), [this, order, term, until, sentAt, generation = this->plannerGeneration] {
+        if (generation != this->plannerGeneration)
             return;
         this->send(
-            order.worker.id, [this, order, term, until] { return this->carryPoll(order, term, until); },
+            order.worker.id, [this, order, term, until] { return this->executePoll(order, term, until); },
             [this, order, sentAt](const std::optional<WorkerReport>& report) {
                 if (report) {
-                    this->noteListed(*report);
+                    this->recordReportedEnds(*report);
                     this->planner->pollAnswered(order.worker, sentAt, order.beside, *report, this->now);
                 } else {
                     this->planner->pollFailed(order.worker, order.beside, this->workers.at(order.worker.id).replaced ? WorkerFault::OtherIncarnation : WorkerFault::NoAnswer, this->now);
--- a/src/tasks/testing/virtual_site.h
+++ b/src/tasks/testing/virtual_site.h
@@ -29,7 +29,7 @@
     std::uint64_t seed { 1 };
     int workers { 12 };
     Millis lease { 6000 };
-    Millis stopTime { 200 };
+    Millis maxStopTime { 200 };
     Millis gangTimeout { 3000 };
     double lostOrders { 0 }; // Share that is not carried out and not answered.
     double lostAnswers { 0 }; // Share that is carried out and not answered.
@@ -49,15 +49,15 @@
         for (int i = 0; i < options.workers; ++i)
             this->addWorker(fmt::format("w{:02}", i));
         this->catalog = std::make_shared<Catalog>();
-        auto text = std::make_shared<Catalog>();
-        text->workspaces.push_back({ "a", 24 });
-        text->workspaces.push_back({ "b", 16 });
-        this->catalog = text;
+        auto entries = std::make_shared<Catalog>();
+        entries->workspaces.push_back({ "a", 24 });
+        entries->workspaces.push_back({ "b", 16 });
+        this->catalog = entries;
     }
 
     Millis now { 1000 };
-    std::vector<std::string> broken; // What must hold and did not.
-    std::string traced; // A job whose orders are told in `trace`.
+    std::vector<std::string> violations; // What must hold and did not.
+    std::string tracedJob; // A job whose orders are told in `trace`.
     std::vector<std::string> trace;
     std::vector<PlanEvent> planEvents; // All that planners told for the log.
     std::unique_ptr<TaskPlanner> planner;
@@ -73,36 +73,36 @@
 
     void cancel(const std::string& id);
 
-    void cut(const std::string& id, bool isCut) { this->workers.at(id).cut = isCut; }
-    void cutDomain(const std::string& domain, bool isCut);
-    void stall(const std::string& id, bool stalls);
+    void setPartitioned(const std::string& id, bool isPartitioned) { this->workers.at(id).isPartitioned = isPartitioned; }
+    void setDomainPartitioned(const std::string& domain, bool isPartitioned);
+    void setStalled(const std::string& id, bool isStalled);
 
     // Starts are sent this much after they were decided, as those are that wait behind others.
-    void delayStarts(Millis wait) { this->startsWait = wait; }
+    void delayStarts(Millis wait) { this->startDelay = wait; }
 
     // The next start is carried out this much later, by whatever is there then, and not answered.
-    void delayNextStart(Millis wait) { this->nextStartLate = wait; }
+    void delayNextStart(Millis wait) { this->nextStartDelay = wait; }
 
     // The connection of the next start breaks. It is sent again at once, and carried out this
     // much later as well, by whatever is there then.
-    void repeatNextStart(Millis wait) { this->nextStartTwice = wait; }
+    void repeatNextStart(Millis wait) { this->nextStartRepeatDelay = wait; }
 
     // So many of the next starts do not leave the planner's instance.
-    void keepBack(int starts) { this->startsKeptBack = starts; }
+    void suppressNextStarts(int starts) { this->suppressedStarts = starts; }
 
     // A call of the planner before, which has not heard yet that another follows it,
     // renews the lease of a worker that the other one has not reached.
-    void renewByEarlierPlanner(const std::string& id) { this->workers.at(id).leaseUntil = this->now + this->options.lease; }
+    void renewByEarlierPlanner(const std::string& id) { this->workers.at(id).leaseEnd = this->now + this->options.lease; }
 
     void loseAnswers(double share) { this->options.lostAnswers = share; }
     void failAll(const std::string& id, bool fails) { this->workers.at(id).failsAll = fails; }
     void leave(const std::string& id);
 
     // It leaves, and is gone soon after.
-    void depart(const std::string& id);
+    void leaveAndStop(const std::string& id);
 
     // This share of orders is carried out 2 to 12 s later and not answered.
-    void carryLate(double share) { this->options.lateOrders = share; }
+    void delayOrders(double share) { this->options.lateOrders = share; }
 
     // The worker crashes and comes back under its id, running nothing.
     void restart(const std::string& id);
@@ -111,26 +111,26 @@
     void crash(const std::string& id);
 
     // The first task of this job crashes each worker that starts it, this long after its start.
-    void crashesWorkers(const std::string& job, Millis after) { this->crashing[job] = after; }
+    void crashWorkersRunning(const std::string& job, Millis after) { this->crashDelays[job] = after; }
 
     // Workers that crashed under the first task of a job.
-    std::int64_t crashesUnder(const std::string& job) const;
+    std::int64_t crashCountOf(const std::string& job) const;
 
     // The capacity of a worker changes; its entry in the list shows it half a second later.
     void resize(const std::string& id, Room capacity);
 
     // The planner has its turn this rarely, as on a machine with too little processor time.
-    void planEvery(Millis gap) { this->turnGap = gap; }
+    void setPlannerInterval(Millis gap) { this->plannerInterval = gap; }
 
     // It has none before then.
-    void holdPlanner(Millis until) { this->nextTurn = until; }
+    void pausePlanner(Millis until) { this->nextPlannerTurn = until; }
 
     // Records become durable this much later.
-    void delayRecords(Millis wait) { this->recordsWait = wait; }
+    void delayRecords(Millis wait) { this->recordDelay = wait; }
 
     // What a caller does who counts the time of rounds: none of all units is held for three
     // times as long as the last one took.
-    void roundsTake(Millis time) { this->roundTime = time; }
+    void setRoundDuration(Millis time) { this->roundDuration = time; }
 
     // Polls that a turn leaves over go out before the next one.
     void pollBetweenTurns() { this->pollsBetweenTurns = true; }
@@ -138,9 +138,9 @@
     void run(Millis until);
 
     // Runs until every job is over, at most until then.
-    bool runUntilOver(Millis until);
+    bool runUntilFinished(Millis until);
 
-    bool allOver() const;
+    bool allFinished() const;
 
     JobState stateOf(const std::string& id) const;
 
@@ -153,8 +153,8 @@
 
     std::int64_t countEnds(RunEnd end) const;
 
-    std::int64_t refusedTickets { 0 }; // Starts without the ticket that they need.
-    std::int64_t adviceAsked { 0 }; // Workers named in questions.
+    std::int64_t startsWithoutTicket { 0 }; // Starts without the ticket that they need.
+    std::int64_t workersInAdviceRequests { 0 }; // Workers named in questions.
 
     std::mt19937_64 random;
 
@@ -163,13 +163,13 @@
 
     struct Run {
         Millis startedAt { 0 };
-        Millis left { 0 }; // Of its work.
-        Millis total { 1 };
+        Millis remaining { 0 }; // Of its work.
+        Millis totalWork { 1 };
         std::string checkpoint;
-        std::int64_t members { 1 };
+        std::int64_t gangSize { 1 };
         Millis waitingSince { 0 };
-        Millis stopAt { 0 };
-        bool fails { false };
+        Millis stopsAt { 0 };
+        bool willFail { false };
         Room room;
     };
 
@@ -177,17 +177,17 @@
         Millis born { 1 };
         Room capacity { 128000, 512000, 8 };
         std::string rack;
-        std::int64_t token { 0 };
+        std::int64_t highestTerm { 0 };
         std::map<RunRef, Run> running;
-        std::map<TaskRef, std::int64_t> ceilings; // Runs up to this one are refused.
+        std::map<TaskRef, std::int64_t> highestRefusedRuns; // Runs up to this one are refused.
         std::vector<EndedTask> ended;
-        std::int64_t endNumber { 0 };
+        std::int64_t lastEndNumber { 0 };
         std::set<std::int64_t> lapsedEnds; // Its lease ran out before they were acknowledged: nobody has to know of them.
-        int failuresInARow { 0 };
-        bool hasStalled { false };
-        Millis leaseUntil { 0 };
-        bool cut { false };
-        bool stalls { false };
+        int consecutiveFailures { 0 };
+        bool wasStalled { false };
+        Millis leaseEnd { 0 };
+        bool isPartitioned { false };
+        bool isStalled { false };
         bool failsAll { false };
         bool leaving { false };
         bool crashed { false };
@@ -198,105 +198,105 @@
 
     void addWorker(const std::string& id);
     void addWorker(const std::string& id, const std::string& rack);
-    void loseRuns(Worker&, const std::string& id);
+    void dropRuns(Worker&, const std::string& id);
 
     std::vector<WorkerSighting> sightings() const;
 
-    void relist();
+    void publishWorkers();
 
-    void at(Millis when, std::function<void()> event) { this->events.emplace(when, std::move(event)); }
+    void schedule(Millis when, std::function<void()> event) { this->events.emplace(when, std::move(event)); }
 
-    double chance() { return std::uniform_real_distribution<double>(0, 1)(this->random); }
-    Millis between(Millis low, Millis high) { return std::uniform_int_distribution<Millis>(low, high)(this->random); }
+    double randomShare() { return std::uniform_real_distribution<double>(0, 1)(this->random); }
+    Millis randomBetween(Millis low, Millis high) { return std::uniform_int_distribution<Millis>(low, high)(this->random); }
 
     void write(const std::string& key, const std::string& value) { this->table.apply(key, value, this->offset++, this->now); }
 
     void advance();
-    void plan();
-    void pollLeftOver();
+    void runPlanner();
+    void sendRemainingPolls();
 
-    void record(const RecordBatch& batch);
+    void storeRecords(const RecordBatch& batch);
 
     // Carries an order to a worker and its answer back, as well as the network does.
-    template <typename Carry, typename Answer>
-    void send(const std::string& id, Carry carry, Answer answer);
+    template <typename Execute, typename Answer>
+    void send(const std::string& id, Execute execute, Answer answer);
 
     void start(const StartOrder& order);
     void sendStart(const StartOrder& order);
 
-    void tell(const RunRef& run, const std::string& worker, const char* what);
+    void traceRun(const RunRef& run, const std::string& worker, const char* what);
 
-    StartAnswer carryStart(const StartOrder& order, std::int64_t term, Millis until);
+    StartAnswer executeStart(const StartOrder& order, std::int64_t term, Millis until);
 
     const Step& stepOf(const TaskRef& task) const { return this->jobs.at(task.job).steps[static_cast<std::size_t>(task.step)]; }
 
-    void judgeStart(const StartOrder& order, const Worker& worker);
-    void judgeRoom(const StartOrder& order, const Worker& worker);
-    void judgeFailed(const std::string& job);
+    void checkStart(const StartOrder& order, const Worker& worker);
+    void checkCapacity(const StartOrder& order, const Worker& worker);
+    void checkFailedJob(const std::string& job);
 
     // Lost work: see virtual_site_calm.cc.
-    bool isDisturbed() const;
-    void disturb() { this->disturbedAt = this->now; }
-    void judgeLostWork();
-    LostWorkJudge::View viewOfWork() const;
-    bool hasFailedForGood(const std::string& job) const;
-    void noteListed(const WorkerReport&);
+    bool hasActiveFault() const;
+    void recordFault() { this->lastFaultAt = this->now; }
+    void checkLostWork();
+    LostWorkDetector::View detectorView() const;
+    bool hasExhaustedAttempts(const std::string& job) const;
+    void recordReportedEnds(const WorkerReport&);
 
-    void breach(const std::string& what, const StartOrder& order);
+    void reportViolation(const std::string& what, const StartOrder& order);
 
     void stop(const StopOrder& order);
 
     void poll(const PollOrder& order);
 
     // The policy of every queue that has one: workers of even number may run its steps.
-    void advise(const AdviceOrder& order);
+    void answerAdvice(const AdviceOrder& order);
     std::string ticketOf(const StepKey& step, const std::string& worker) const;
 
-    std::optional<WorkerReport> carryPoll(const PollOrder& order, std::int64_t term, Millis until);
+    std::optional<WorkerReport> executePoll(const PollOrder& order, std::int64_t term, Millis until);
 
     void acknowledge(Worker& worker, std::int64_t through);
 
-    std::int64_t present(const RunRef& run) const;
+    std::int64_t countRunningMembers(const RunRef& run) const;
 
-    bool allThrough(const RunRef& run) const;
+    bool allMembersFinished(const RunRef& run) const;
 
-    void work(const std::string& id, Worker& worker);
+    void advanceWorker(const std::string& id, Worker& worker);
 
-    void finish(const std::string& id, Worker& worker, const RunRef& ref, RunEnd end);
-    void noteFailures(Worker& worker, const std::string& id, const RunRef& ref, RunEnd end);
+    void finishRun(const std::string& id, Worker& worker, const RunRef& ref, RunEnd end);
+    void recordFailure(Worker& worker, const std::string& id, const RunRef& ref, RunEnd end);
 
     SiteOptions options;
-    Millis startsWait { 0 };
-    Millis nextStartLate { 0 };
-    Millis nextStartTwice { 0 };
-    Millis recordsWait { 0 };
-    Millis turnGap { 0 };
-    Millis nextTurn { 0 };
-    Millis roundTime { 0 };
+    Millis startDelay { 0 };
+    Millis nextStartDelay { 0 };
+    Millis nextStartRepeatDelay { 0 };
+    Millis recordDelay { 0 };
+    Millis plannerInterval { 0 };
+    Millis nextPlannerTurn { 0 };
+    Millis roundDuration { 0 };
     bool pollsBetweenTurns { false };
-    int startsKeptBack { 0 };
-    std::map<std::string, Millis> crashing; // Jobs whose first task crashes its worker, and how long after its start.
+    int suppressedStarts { 0 };
+    std::map<std::string, Millis> crashDelays; // Jobs whose first task crashes its worker, and how long after its start.
     std::map<TaskRef, std::int64_t> crashes; // Workers that crashed under a task.
     std::map<TaskRef, std::int64_t> startsAfterCrashes; // After the third.
     std::map<UnitKey, std::set<std::int64_t>> failedRuns;
     std::map<UnitKey, std::set<std::string>> failedOn; // Workers.
-    std::set<TaskRef> doneListed; // In an answer that a planner got.
+    std::set<TaskRef> reportedDone; // In an answer that a planner got.
     std::set<std::string> cancelled;
-    Millis disturbedAt { 0 };
-    LostWorkJudge lostWork;
+    Millis lastFaultAt { 0 };
+    LostWorkDetector lostWorkDetector;
     std::shared_ptr<const Catalog> catalog;
     std::map<std::string, Worker> workers;
     std::map<std::string, Job> jobs;
     std::multimap<Millis, std::function<void()>> events;
     std::int64_t offset { 0 };
     std::int64_t term { 0 };
-    int generation { 0 }; // Counts planners, so that none gets another's answers.
-    std::map<std::string, std::int64_t> starts;
-    std::map<RunEnd, std::int64_t> ends;
+    int plannerGeneration { 0 }; // Counts planners, so that none gets another's answers.
+    std::map<std::string, std::int64_t> startCounts;
+    std::map<RunEnd, std::int64_t> endCounts;
     std::set<TaskRef> done;
-    std::set<TaskRef> doneAndNoted;
-    std::map<TaskRef, std::set<std::int64_t>> failedNoted;
-    std::map<std::tuple<std::string, std::int64_t, std::int64_t, std::int64_t>, bool> gone; // Gang runs of which a member ended: done or not.
+    std::set<TaskRef> acknowledgedDone;
+    std::map<TaskRef, std::set<std::int64_t>> acknowledgedFailures;
+    std::map<std::tuple<std::string, std::int64_t, std::int64_t, std::int64_t>, bool> endedGangs; // Gang runs of which a member ended: done or not.
 };
 
 } // namespace rattan::tasks::testing
--- a/src/tasks/testing/virtual_site_lost_work.cc
+++ b/src/tasks/testing/virtual_site_lost_work.cc
@@ -6,33 +6,33 @@
 
 namespace rattan::tasks::testing {
 
-bool VirtualSite::isDisturbed() const
+bool VirtualSite::hasActiveFault() const
 {
     const SiteOptions& faults = this->options;
     if (!this->planner || faults.lostOrders > 0 || faults.lostAnswers > 0 || faults.lateOrders > 0 || faults.lostAdvice > 0)
         return true;
-    if (this->startsWait > 0 || this->nextStartLate > 0 || this->startsKeptBack > 0 || this->recordsWait > 0)
+    if (this->startDelay > 0 || this->nextStartDelay > 0 || this->suppressedStarts > 0 || this->recordDelay > 0)
         return true;
-    return std::any_of(this->workers.begin(), this->workers.end(), [](const auto& row) { return !row.second.crashed && (row.second.cut || row.second.stalls || row.second.failsAll); });
+    return std::any_of(this->workers.begin(), this->workers.end(), [](const auto& row) { return !row.second.crashed && (row.second.isPartitioned || row.second.isStalled || row.second.failsAll); });
 }
 
 // Runs on a worker that is gone are given up a lease later.
-void VirtualSite::judgeLostWork()
+void VirtualSite::checkLostWork()
 {
-    constexpr Millis lookEvery = 100;
-    constexpr Millis spare = 1000;
-    if (this->isDisturbed())
-        this->disturb();
-    if (this->now % lookEvery != 0)
+    constexpr Millis checkInterval = 100;
+    constexpr Millis margin = 1000;
+    if (this->hasActiveFault())
+        this->recordFault();
+    if (this->now % checkInterval != 0)
         return;
-    if (this->now < this->disturbedAt + this->options.lease + spare)
-        return this->lostWork.disturbed();
-    this->lostWork.look(this->viewOfWork(), this->broken);
+    if (this->now < this->lastFaultAt + this->options.lease + margin)
+        return this->lostWorkDetector.reset();
+    this->lostWorkDetector.check(this->detectorView(), this->violations);
 }
 
-LostWorkJudge::View VirtualSite::viewOfWork() const
+LostWorkDetector::View VirtualSite::detectorView() const
 {
-    LostWorkJudge::View view;
+    LostWorkDetector::View view;
     view.now = this->now;
     for (const auto& [id, worker] : this->workers) {
         if (!worker.listed || worker.crashed)
@@ -41,21 +41,21 @@
         for (const auto& [ref, run] : worker.running) {
             free -= run.room;
             view.running.insert(ref.task);
-            view.used += run.room.accelerators;
+            view.usedAccelerators += run.room.accelerators;
         }
         view.accelerators += worker.capacity.accelerators;
-        constexpr int enoughFailures = 2; // After as many a planner may do without it.
-        if (!worker.leaving && !worker.hasStalled && worker.failuresInARow < enoughFailures)
-            view.places.push_back({ id, "s", worker.rack, { "k", worker.rack }, free });
+        constexpr int failureLimit = 2; // After as many a planner may do without it.
+        if (!worker.leaving && !worker.wasStalled && worker.consecutiveFailures < failureLimit)
+            view.workers.push_back({ id, "s", worker.rack, { "k", worker.rack }, free });
     }
     for (const auto& [id, job] : this->jobs) {
         // Where advice or the calendar decides as well, it cannot be told from here.
-        const bool isToBeDone = !this->cancelled.contains(id) && !isFinal(this->stateOf(id)) && !this->hasFailedForGood(id);
-        if (isToBeDone && job.repeats == 0 && job.terms.advice.valid == 0)
+        const bool isPending = !this->cancelled.contains(id) && !isFinal(this->stateOf(id)) && !this->hasExhaustedAttempts(id);
+        if (isPending && job.repeats == 0 && job.terms.advice.valid == 0)
             view.jobs.push_back(&job);
     }
     view.isDone = [this](const TaskRef& task) { return this->done.contains(task); };
-    view.isListed = [this](const TaskRef& task) { return this->doneListed.contains(task); };
+    view.isReportedDone = [this](const TaskRef& task) { return this->reportedDone.contains(task); };
     view.hasFailedOn = [this](const UnitKey& unit, const std::string& worker) {
         const auto failed = this->failedOn.find(unit);
         return failed != this->failedOn.end() && failed->second.contains(worker);
@@ -63,25 +63,25 @@
     return view;
 }
 
-bool VirtualSite::hasFailedForGood(const std::string& id) const
+bool VirtualSite::hasExhaustedAttempts(const std::string& id) const
 {
-    const std::int64_t most = this->jobs.at(id).terms.mostAttempts;
+    const std::int64_t maxAttempts = this->jobs.at(id).terms.mostAttempts;
     for (auto next = this->failedRuns.lower_bound({ id, 0, 0, wholeGang }); next != this->failedRuns.end() && next->first.job == id; ++next) {
-        if (static_cast<std::int64_t>(next->second.size()) >= most)
+        if (static_cast<std::int64_t>(next->second.size()) >= maxAttempts)
             return true;
     }
     return false;
 }
 
-void VirtualSite::noteListed(const WorkerReport& report)
+void VirtualSite::recordReportedEnds(const WorkerReport& report)
 {
     for (const EndedTask& end : report.ended) {
         if (end.end != RunEnd::Done)
             continue;
         const Step& step = this->stepOf(end.run.task);
-        this->doneListed.insert(end.run.task);
+        this->reportedDone.insert(end.run.task);
         for (std::int64_t index = 0; step.gang && index < step.count; ++index)
-            this->doneListed.insert({ end.run.task.job, end.run.task.occurrence, end.run.task.step, index });
+            this->reportedDone.insert({ end.run.task.job, end.run.task.occurrence, end.run.task.step, index });
     }
 }
 
