--- a/src/tasks/testing/fault_scenario.cc
+++ b/src/tasks/testing/fault_scenario.cc
@@ -44,7 +44,7 @@
 
 void FaultScenario::schedule()
 {
-    // Of one job as it comes, on average, in accelerator-milliseconds.
+    // Average work of one regular job, in accelerator-milliseconds.
     constexpr double averageWorkPerJob = 6 * 4.5 * 3500 * 1.5;
     const double totalWork = this->options.load * acceleratorsPerWorker * this->options.workers * static_cast<double>(trafficEnd);
     this->scheduleEvenly(1000, trafficEnd, static_cast<int>(totalWork / averageWorkPerJob), [this](int) { this->submitRandomJob(); });
@@ -88,7 +88,7 @@
 {
     Job job;
     job.id = fmt::format("{:016x}", ++this->jobs);
-    job.workspace = std::string(this->randomBelow(2) == 0 ? "a" : "b"); // GCC 12 warns wrongly where a literal of one letter is assigned.
+    job.workspace = std::string(this->randomBelow(2) == 0 ? "a" : "b"); // GCC 12 gives a false warning if a one-letter literal is assigned.
     job.terms = { .queue = fmt::format("q{}", priority), .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     return job;
 }
--- a/src/tasks/testing/fault_scenario.h
+++ b/src/tasks/testing/fault_scenario.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A day on which one fault follows the other, on a site of several hundred workers with a
-// planner that has its turn rarely. At its end traffic stops, and nothing is wrong any more.
+// A sequence of overlapping faults on a site of several hundred workers whose planner has
+// infrequent turns. Before its end the traffic stops and all faults are over.
 //
 //     FaultScenario scenario({ .seed = 7, .plannerInterval = 250 });
 //     scenario.run();
@@ -25,7 +25,7 @@
         Millis roundDuration { 0 };
         bool pollsBetweenTurns { true };
         Millis until { 58000 };
-        double load { 0.5 }; // Of all accelerators, by jobs as they come without the burst.
+        double load { 0.5 }; // Share of all accelerators used by the regular jobs, without the burst of large ones.
     };
 
     explicit FaultScenario(Options);
--- a/src/tasks/testing/fault_scenario_test.cc
+++ b/src/tasks/testing/fault_scenario_test.cc
@@ -1,5 +1,5 @@
-// The faults of a busy day one after the other, and what is left of them when all is well
-// again. RATTAN_DAYS=FIRST-LAST plays other seeds.
+// Runs a sequence of faults and checks that no work is lost after they are over. Also tests the
+// detector of lost work. RATTAN_DAYS=FIRST-LAST selects other seeds.
 
 #include "tasks/testing/fault_scenario.h"
 
@@ -41,7 +41,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against work that waits beside idle workers, since nobody asks them or reads their ends.
+    // Guards against work that waits beside idle workers because the planner does not poll them or
+    // does not process the ends that they report.
     void noWorkIsLostAfterFaults()
     {
         unsigned long long first = 1;
@@ -55,7 +56,7 @@
         }
     }
 
-    // Guards against a judge that never speaks.
+    // Guards against a detector that never reports anything.
     void detectorReportsWorkThatIsNotStarted()
     {
         VirtualSite site({ .seed = 41, .failures = 0 });
@@ -79,14 +80,14 @@
             site.run(site.now + 5);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, site.countEnds(RunEnd::Done));
         const Millis ended = site.now;
-        site.pausePlanner(20000); // The polls that wait there tell of both ends.
+        site.pausePlanner(20000); // The polls that wait at the workers report both ends.
         site.run(ended + 2900);
         CPPUNIT_ASSERT(site.violations.empty());
         site.run(ended + 3400);
         CPPUNIT_ASSERT(hasLostWork(site));
     }
 
-    // Guards against a judge that takes a fault of the site for one of the planner.
+    // Guards against a detector that reports a fault of the site as a fault of the planner.
     void detectorReportsNothingNearAFault()
     {
         VirtualSite site({ .seed = 43, .failures = 0 });
--- a/src/tasks/testing/idle_capacity_test.cc
+++ b/src/tasks/testing/idle_capacity_test.cc
@@ -1,4 +1,4 @@
-// Room that is free and nobody else's is used: nothing waits beside it without a limit.
+// Capacity that is free and not reserved is used: no work waits beside it indefinitely.
 
 #include "tasks/task_planner.h"
 
@@ -42,8 +42,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against a whole step that waits because the first of its tasks has failed on the
-    // only worker with room.
+    // Guards against a step of which all tasks wait because the first of them has failed on the
+    // only worker with free capacity.
     void excludedWorkerDoesNotBlockOtherTasks()
     {
         VirtualSite site({ .seed = 70, .workers = 2, .failures = 0 });
@@ -61,7 +61,7 @@
         assertNoViolations(site);
     }
 
-    // Guards against room that nothing uses until the run beside it is over, which may last.
+    // Guards against capacity that stays unused until the run beside it ends, which may take long.
     void untrustedWorkerIsRetriedBesideALongRun()
     {
         VirtualSite site({ .seed = 71, .workers = 1, .failures = 0 });
@@ -77,15 +77,15 @@
         site.failAll("w00", false);
         site.submit(createJob("good", 3, oneAccelerator, 400));
         site.run(site.now + 1000);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.runsOf("good")); // It is not trusted yet.
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.runsOf("good")); // The worker is not trusted yet.
         site.run(site.now + 9000);
         CPPUNIT_ASSERT(site.stateOf("good") == JobState::Completed);
         CPPUNIT_ASSERT(site.stateOf("long") == JobState::Running);
         assertNoViolations(site);
     }
 
-    // Guards against an urgent task that waits for as long as a few others before it, which no
-    // worker could hold.
+    // Guards against an urgent task that waits for as long as a few tasks before it that no worker
+    // can run.
     void unplaceableUnitsDoNotDelayEvictionForOthers()
     {
         VirtualSite site({ .seed = 72, .workers = 4, .failures = 0 });
@@ -105,8 +105,8 @@
         assertNoViolations(site);
     }
 
-    // Guards against a step that is never asked for, since a few before it, whose workers are
-    // busy, have their tickets renewed all the time.
+    // Guards against a step for which advice is never requested because a few steps before it,
+    // whose workers are busy, have their tickets renewed all the time.
     void adviceRequestsReachAllSteps()
     {
         VirtualSite site({ .seed = 73, .workers = 4, .failures = 0 });
@@ -128,7 +128,7 @@
         assertNoViolations(site);
     }
 
-    // Guards against a job that is never over, as its planner was followed while a later
+    // Guards against a job that never finishes because its planner was replaced while a later
     // occurrence had ended and an earlier one had not.
     void occurrenceEndedOutOfOrderSurvivesTakeover()
     {
--- a/src/tasks/testing/long_running_tasks_test.cc
+++ b/src/tasks/testing/long_running_tasks_test.cc
@@ -1,5 +1,5 @@
-// Runs that last until their job is cancelled: their workers are played by hand, since those of
-// a VirtualSite end every run.
+// Tasks that run until their job is cancelled. These tests simulate the workers themselves
+// because a VirtualSite ends every run.
 
 #include "tasks/task_planner.h"
 
@@ -34,7 +34,8 @@
     return result;
 }
 
-// Workers on which every start succeeds, runs that last serve at once, and others end in time.
+// Workers on which every start succeeds, long-running tasks serve at once, and other tasks end
+// after their estimate.
 class ManualWorkers {
 public:
     explicit ManualWorkers(int count)
@@ -97,7 +98,7 @@
     static constexpr Millis turnInterval = 10;
 
     struct Worker {
-        std::map<RunRef, Millis> running; // And when each began.
+        std::map<RunRef, Millis> running; // With the time at which each started.
         std::vector<EndedTask> ended;
         std::int64_t lastEndNumber { 0 };
     };
@@ -155,7 +156,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against room that stays free because a task waits for a run to end that does not.
+    // Guards against capacity that stays free because a task waits for the end of a run that does
+    // not end.
     void capacityBesideALongRunIsNotReserved()
     {
         ManualWorkers workers(1);
@@ -169,7 +171,7 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, workers.runsOf("large"));
     }
 
-    // Guards against a worker that gets nothing more because the run that it was tried with lasts.
+    // Guards against a worker that gets no more tasks because the run of its trial does not end.
     void servingRunEndsAWorkerTrial()
     {
         ManualWorkers workers(1);
--- a/src/tasks/testing/lost_work_detector.cc
+++ b/src/tasks/testing/lost_work_detector.cc
@@ -46,7 +46,7 @@
     this->lostSince = std::move(stillLost);
 }
 
-// One of each step, since all are alike but for where they have failed.
+// Returns one unit per step: units of a step differ only in the workers on which they failed.
 std::vector<UnitKey> LostWorkDetector::readyUnits(const Job& job, const View& view)
 {
     std::vector<UnitKey> ready;
@@ -70,7 +70,7 @@
     return ready;
 }
 
-// How often the whole unit fits, at most twice.
+// How many times the complete unit fits on the workers, up to two.
 std::int64_t LostWorkDetector::countFits(const Job& job, const UnitKey& unit, const View& view)
 {
     constexpr std::int64_t maxFits = 2;
--- a/src/tasks/testing/lost_work_detector.h
+++ b/src/tasks/testing/lost_work_detector.h
@@ -1,17 +1,17 @@
 #pragma once
 
-// Judges whether work is lost: a job that nobody cancelled has nothing running for a
-// while, although the turn of one of its tasks has come, the task fits twice over on
-// workers that can take it, and less than half of all accelerators are in use.
+// Detects lost work: a job that was not cancelled and has had no running task for a while,
+// although a task of it is ready, the task fits twice on workers that can take it, and less
+// than half of all accelerators are in use.
 //
-// It is shown what workers do, not what a planner believes. Room that is only just free
-// counts as well, so a planner has to see it within that while.
+// The detector is given what workers do, not the planner's view. It counts capacity as free at
+// once, so a planner must notice freed capacity within that time.
 //
 //     LostWorkDetector detector;
 //     if (isCalm) detector.check(view, violations); else detector.reset();
 //
-// Told of a disturbance it begins anew: while workers are out of reach, nobody can know
-// what runs there.
+// reset() restarts the measurement after a disturbance: while workers are unreachable, no
+// planner can know what they run.
 
 #include "tasks/job.h"
 #include "tasks/placing.h"
@@ -37,13 +37,13 @@
 
     struct View {
         Millis now { 0 };
-        std::vector<WorkerCapacity> workers; // Workers that can take work.
-        std::int64_t accelerators { 0 }; // Of all workers that are present,
-        std::int64_t usedAccelerators { 0 }; // and in use there.
+        std::vector<WorkerCapacity> workers; // Workers that can accept work.
+        std::int64_t accelerators { 0 }; // Total of all workers that are present.
+        std::int64_t usedAccelerators { 0 }; // Of these, those in use.
         std::set<TaskRef> running;
-        std::vector<const Job*> jobs; // That are to be done.
-        std::function<bool(const TaskRef&)> isDone; // Its run has ended well.
-        std::function<bool(const TaskRef&)> isReportedDone; // A worker has told so.
+        std::vector<const Job*> jobs; // Jobs that should run.
+        std::function<bool(const TaskRef&)> isDone; // True if a run of the task has completed.
+        std::function<bool(const TaskRef&)> isReportedDone; // True if a worker has reported the completion to a planner.
         std::function<bool(const UnitKey&, const std::string& worker)> hasFailedOn;
     };
 
@@ -56,7 +56,7 @@
     static std::vector<UnitKey> readyUnits(const Job&, const View&);
     static std::int64_t countFits(const Job&, const UnitKey&, const View&);
 
-    std::map<std::string, Millis> lostSince; // When what is wrong with a job was first seen.
+    std::map<std::string, Millis> lostSince; // By job: since when it has been lost.
     std::set<std::string> reportedJobs;
 };
 
--- a/src/tasks/testing/stop_before_start_test.cc
+++ b/src/tasks/testing/stop_before_start_test.cc
@@ -1,5 +1,6 @@
-// Stops that reach a worker before the start of their run, and a planner that has its turn
-// rarely: each of its turns sends such a stop again, together with the poll that would settle it.
+// A stop that reaches a worker before the start of its run, with a planner that has infrequent
+// turns: each turn sends the stop again, together with the poll that would confirm the end of
+// the run.
 
 #include "tasks/testing/virtual_site.h"
 
@@ -35,7 +36,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against a task that waits for ever for the end of a run that never began.
+    // Guards against a task that waits forever for the end of a run that never started.
     void stopBeforeStartEndsTheRunWithFewPlannerTurns() { this->stopBeforeStart(1000); }
     void stopBeforeStartEndsTheRunWithManyPlannerTurns() { this->stopBeforeStart(250); }
 
@@ -51,7 +52,7 @@
         while (site.now < 6000 && workerOfPlacedUnit(site).empty())
             site.run(site.now + 5);
         CPPUNIT_ASSERT(!workerOfPlacedUnit(site).empty());
-        site.run(site.now + 100); // It is recorded by now, and the start is decided.
+        site.run(site.now + 100); // By now the placement is recorded and the start is decided.
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.runsOf("j"));
         site.leave(workerOfPlacedUnit(site));
         site.run(site.now + plannerInterval + 200);
--- a/src/tasks/testing/takeover_test.cc
+++ b/src/tasks/testing/takeover_test.cc
@@ -36,8 +36,8 @@
         this->table.apply("job/a", encodeJob(submitted), 1, now);
     }
 
-    // Guards against a job that runs again, or is never shown as over, because its planner
-    // died between its two records of the end.
+    // Guards against a job that runs again, or is never shown as finished, because its planner
+    // was killed between its two records of the end.
     void endRecordedOnlyInProgressIsCompleted()
     {
         this->plans.apply("progress/a", encodeProgress({ .state = JobState::Completed, .started = true }), 2);
@@ -71,8 +71,8 @@
         CPPUNIT_ASSERT(this->contains(second.batches.at(0).plans, "progress/a", ""));
     }
 
-    // Guards against one more start of a task that crashes its workers, because its planner
-    // died after the record of the last crash and before it gave the job up.
+    // Guards against another start of a task that crashes its workers, because its planner was
+    // killed after it recorded the last crash and before it gave up the job.
     void crashLimitSurvivesTakeover()
     {
         UnitProgress unit { .run = 2, .crashes = { { 1, 0, CrashEvidence::Early }, { 2, 0, CrashEvidence::Alone } }, .suspect = true };
@@ -83,8 +83,8 @@
         CPPUNIT_ASSERT(this->contains(planner.take(now).batches.at(0).jobs, "state/a", encodeState(JobState::Failed)));
     }
 
-    // Guards against work of seconds that is thrown away after a takeover, since the planner that
-    // follows knows nothing of the time before it.
+    // Guards against an eviction that discards seconds of work after a takeover because the new
+    // planner does not know how long the run lasted before it took over.
     void nearlyFinishedRunIsNotEvictedAfterTakeover()
     {
         VirtualSite site({ .seed = 3, .workers = 1, .failures = 0 });
@@ -101,7 +101,7 @@
         CPPUNIT_ASSERT_MESSAGE(site.violations.empty() ? "" : site.violations.front(), site.violations.empty());
     }
 
-    // Guards against a choice by chance among runs that all seem to have begun at the takeover.
+    // Guards against an arbitrary choice among runs that all seem to have started at the takeover.
     void youngestRunOfEarlierPlannerIsEvicted()
     {
         for (std::uint64_t seed = 1; seed <= 8; ++seed) {
@@ -122,7 +122,7 @@
         }
     }
 
-    // Guards against a gang that seems through because a member with little work is.
+    // Guards against a gang that seems nearly finished because a member with little work is.
     void gangAgeFollowsItsLongestMember()
     {
         for (std::uint64_t seed = 1; seed <= 8; ++seed) {
--- a/src/tasks/testing/virtual_site.cc
+++ b/src/tasks/testing/virtual_site.cc
@@ -1,5 +1,5 @@
-// Jobs, the planner and the network between it and workers. The workers themselves
-// are in virtual_site_workers.cc.
+// Jobs, the planner, and the network between the planner and workers. The workers are in
+// virtual_site_workers.cc.
 
 #include "tasks/testing/virtual_site.h"
 
@@ -179,7 +179,7 @@
     this->schedule(jobsAt, [this, batch, generation] {
         for (const auto& [key, value] : batch.jobs) {
             if (generation != this->plannerGeneration)
-                continue; // Its epoch was fenced before it arrived.
+                continue; // The planner's epoch was fenced before the write arrived.
             this->write(key, value);
             const auto parsed = attempt([&, text = key] { return parseKey(text); });
             if (parsed.value && parsed.value->kind == RecordKind::State && this->stateOf(parsed.value->job) == JobState::Failed)
@@ -227,7 +227,7 @@
         });
         deliver(Reply(), this->now + timeout);
     } else if (sample < lateThreshold) {
-        // It waits at the worker, and is gone if that crashes meanwhile.
+        // The order waits at the worker, and is dropped if the worker crashes in the meantime.
         this->schedule(this->now + this->randomBetween(2000, 12000), [this, id, execute, born = worker.born] {
             this->recordFault();
             if (this->workers.at(id).born == born && !this->workers.at(id).crashed)
@@ -327,7 +327,7 @@
     const Millis sentAt = this->now;
     const std::int64_t term = this->term;
     const Millis until = order.renews ? this->now + this->options.lease : 0;
-    // A waiting poll is acted out by its answer alone: it is given after 100 ms.
+    // A waiting poll is simulated by its answer alone, which is given after 100 ms.
     constexpr Millis pollHoldTime = 100;
     this->schedule(this->now + (order.wait > 0 ? pollHoldTime : 0), [this, order, term, until, sentAt, generation = this->plannerGeneration] {
         if (generation != this->plannerGeneration)
--- a/src/tasks/testing/virtual_site.h
+++ b/src/tasks/testing/virtual_site.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// Workers, a log and a network in virtual time, for tests of a TaskPlanner: with
-// delays, lost and late orders, cut and restarted workers, and planners that die
-// and are followed. The same seed gives the same course.
+// Simulates workers, a log and a network in virtual time, for tests of a TaskPlanner: with
+// delays, lost and late orders, network partitions, worker restarts, and planners that are
+// killed and replaced. The same seed produces the same sequence of events.
 //
-// What must always hold is checked here by what the workers do, not by what the
-// planner believes: no worker over its room, no task twice at a time or again
-// after its end was acknowledged, no step before those that it depends on, no
-// task begun again after its last attempt or for long after three workers have
-// crashed under it, no job shown as failed without cause, no work left lying beside
-// idle workers (see lost_work_judge.h; judged only where no fault is near).
+// The invariants are checked here against what the workers do, not against the planner's view:
+// a worker does not exceed its capacity; a task does not run twice at a time, or again after
+// its end was acknowledged; no step starts before those that it depends on; no task is started
+// after its last attempt, or repeatedly after three workers have crashed under it; no job is
+// shown as failed without cause; no work waits beside idle workers (see lost_work_detector.h;
+// checked only while no fault is active or recent).
 
 #include "tasks/task_planner.h"
 #include "tasks/testing/lost_work_detector.h"
@@ -31,13 +31,13 @@
     Millis lease { 6000 };
     Millis maxStopTime { 200 };
     Millis gangTimeout { 3000 };
-    double lostOrders { 0 }; // Share that is not carried out and not answered.
-    double lostAnswers { 0 }; // Share that is carried out and not answered.
-    double lateOrders { 0 }; // Share that is carried out 2 to 12 s later and not answered.
+    double lostOrders { 0 }; // Share that is neither executed nor answered.
+    double lostAnswers { 0 }; // Share that is executed but not answered.
+    double lateOrders { 0 }; // Share that is executed 2 to 12 s later and not answered.
     double failures { 0.02 }; // Share of runs that fail.
-    double lostAdvice { 0 }; // Share of questions to the advice service without an answer.
-    int racks { 0 }; // Workers are spread over so many; 0: four in each.
-    bool uneven { false }; // All tasks but the first of a step have a quarter of its work.
+    double lostAdvice { 0 }; // Share of requests to the advice service that are not answered.
+    int racks { 0 }; // The number of racks that workers are spread over; 0: four workers in each rack.
+    bool uneven { false }; // Every task of a step except the first has a quarter of the first one's work.
 };
 
 class VirtualSite {
@@ -56,15 +56,15 @@
     }
 
     Millis now { 1000 };
-    std::vector<std::string> violations; // What must hold and did not.
-    std::string tracedJob; // A job whose orders are told in `trace`.
+    std::vector<std::string> violations; // Descriptions of violated invariants.
+    std::string tracedJob; // The id of a job whose orders and runs are recorded in `trace`.
     std::vector<std::string> trace;
-    std::vector<PlanEvent> planEvents; // All that planners told for the log.
+    std::vector<PlanEvent> planEvents; // All log events that planners have produced.
     std::unique_ptr<TaskPlanner> planner;
     JobTable table;
     PlanTable plans;
 
-    // A planner of a later term takes over.
+    // Starts a planner of a later term, which takes over.
     void newPlanner();
 
     void killPlanner();
@@ -77,84 +77,87 @@
     void setDomainPartitioned(const std::string& domain, bool isPartitioned);
     void setStalled(const std::string& id, bool isStalled);
 
-    // Starts are sent this much after they were decided, as those are that wait behind others.
+    // Starts are sent this much later than they were decided, as if queued behind others.
     void delayStarts(Millis wait) { this->startDelay = wait; }
 
-    // The next start is carried out this much later, by whatever is there then, and not answered.
+    // The next start is executed this much later, by the worker that has the address at that
+    // time, and is not answered.
     void delayNextStart(Millis wait) { this->nextStartDelay = wait; }
 
-    // The connection of the next start breaks. It is sent again at once, and carried out this
-    // much later as well, by whatever is there then.
+    // The connection of the next start breaks. The start is sent again at once, and is also
+    // executed this much later, by the worker that has the address at that time.
     void repeatNextStart(Millis wait) { this->nextStartRepeatDelay = wait; }
 
-    // So many of the next starts do not leave the planner's instance.
+    // The given number of the next starts is not sent, and answered so.
     void suppressNextStarts(int starts) { this->suppressedStarts = starts; }
 
-    // A call of the planner before, which has not heard yet that another follows it,
-    // renews the lease of a worker that the other one has not reached.
+    // An earlier planner, which does not know yet that it has been replaced, renews the lease of
+    // a worker that the new planner has not reached.
     void renewByEarlierPlanner(const std::string& id) { this->workers.at(id).leaseEnd = this->now + this->options.lease; }
 
     void loseAnswers(double share) { this->options.lostAnswers = share; }
     void failAll(const std::string& id, bool fails) { this->workers.at(id).failsAll = fails; }
     void leave(const std::string& id);
 
-    // It leaves, and is gone soon after.
+    // The worker announces that it leaves, and stops soon after.
     void leaveAndStop(const std::string& id);
 
-    // This share of orders is carried out 2 to 12 s later and not answered.
+    // This share of orders is executed 2 to 12 s later and not answered.
     void delayOrders(double share) { this->options.lateOrders = share; }
 
-    // The worker crashes and comes back under its id, running nothing.
+    // The worker crashes and restarts under the same id without any runs.
     void restart(const std::string& id);
 
-    // The worker crashes; some seconds later another one is there at its address.
+    // The worker crashes; three seconds later another worker has its address.
     void crash(const std::string& id);
 
-    // The first task of this job crashes each worker that starts it, this long after its start.
+    // The first task of this job crashes every worker that starts it, this long after the start.
     void crashWorkersRunning(const std::string& job, Millis after) { this->crashDelays[job] = after; }
 
-    // Workers that crashed under the first task of a job.
+    // The number of workers that have crashed while running the first task of a job.
     std::int64_t crashCountOf(const std::string& job) const;
 
-    // The capacity of a worker changes; its entry in the list shows it half a second later.
+    // Changes the capacity of a worker; the list of workers shows it half a second later.
     void resize(const std::string& id, Room capacity);
 
-    // The planner has its turn this rarely, as on a machine with too little processor time.
+    // Sets the time between turns of the planner, to simulate a machine with too little processor
+    // time.
     void setPlannerInterval(Millis gap) { this->plannerInterval = gap; }
 
-    // It has none before then.
+    // The planner has no turn before the given time.
     void pausePlanner(Millis until) { this->nextPlannerTurn = until; }
 
-    // Records become durable this much later.
+    // Records become durable later by this delay.
     void delayRecords(Millis wait) { this->recordDelay = wait; }
 
-    // What a caller does who counts the time of rounds: none of all units is held for three
-    // times as long as the last one took.
+    // Sets the duration that is reported to the planner for each round over all units, as by a
+    // caller that measures rounds. After such a round, none is held for three times its duration.
     void setRoundDuration(Millis time) { this->roundDuration = time; }
 
-    // Polls that a turn leaves over go out before the next one.
+    // Polls that remain after a turn are sent before the next one.
     void pollBetweenTurns() { this->pollsBetweenTurns = true; }
 
     void run(Millis until);
 
-    // Runs until every job is over, at most until then.
+    // Runs until every job is finished, but not beyond the given time. Returns whether all are.
     bool runUntilFinished(Millis until);
 
     bool allFinished() const;
 
     JobState stateOf(const std::string& id) const;
 
+    // The number of runs started for tasks of the job.
     std::int64_t runsOf(const std::string& id) const;
 
-    // The worker that runs a task of a job's first step; empty: none.
+    // The worker that runs the given task of the job's first step, or empty if none does.
     std::string hostOf(const std::string& job, std::int64_t index) const;
 
     bool isBusy(const std::string& id) const { return !this->workers.at(id).running.empty(); }
 
     std::int64_t countEnds(RunEnd end) const;
 
-    std::int64_t startsWithoutTicket { 0 }; // Starts without the ticket that they need.
-    std::int64_t workersInAdviceRequests { 0 }; // Workers named in questions.
+    std::int64_t startsWithoutTicket { 0 }; // Starts that lacked a required ticket.
+    std::int64_t workersInAdviceRequests { 0 }; // Workers listed in all advice requests.
 
     std::mt19937_64 random;
 
@@ -163,7 +166,7 @@
 
     struct Run {
         Millis startedAt { 0 };
-        Millis remaining { 0 }; // Of its work.
+        Millis remaining { 0 }; // Work that is not done yet.
         Millis totalWork { 1 };
         std::string checkpoint;
         std::int64_t gangSize { 1 };
@@ -179,10 +182,10 @@
         std::string rack;
         std::int64_t highestTerm { 0 };
         std::map<RunRef, Run> running;
-        std::map<TaskRef, std::int64_t> highestRefusedRuns; // Runs up to this one are refused.
+        std::map<TaskRef, std::int64_t> highestRefusedRuns; // By task: this run and earlier ones are refused.
         std::vector<EndedTask> ended;
         std::int64_t lastEndNumber { 0 };
-        std::set<std::int64_t> lapsedEnds; // Its lease ran out before they were acknowledged: nobody has to know of them.
+        std::set<std::int64_t> lapsedEnds; // Ends that were not acknowledged before the lease expired; a planner may ignore them.
         int consecutiveFailures { 0 };
         bool wasStalled { false };
         Millis leaseEnd { 0 };
@@ -191,9 +194,9 @@
         bool failsAll { false };
         bool leaving { false };
         bool crashed { false };
-        bool replaced { false }; // Another worker is there at its address.
+        bool replaced { false }; // Another worker has its address.
         bool listed { true };
-        std::vector<std::pair<Millis, Room>> formerCapacities; // And when each was replaced.
+        std::vector<std::pair<Millis, Room>> formerCapacities; // With the time at which each was replaced.
     };
 
     void addWorker(const std::string& id);
@@ -217,7 +220,8 @@
 
     void storeRecords(const RecordBatch& batch);
 
-    // Carries an order to a worker and its answer back, as well as the network does.
+    // Sends an order to a worker and the answer back, with the delays and losses of the simulated
+    // network.
     template <typename Execute, typename Answer>
     void send(const std::string& id, Execute execute, Answer answer);
 
@@ -234,7 +238,7 @@
     void checkCapacity(const StartOrder& order, const Worker& worker);
     void checkFailedJob(const std::string& job);
 
-    // Lost work: see virtual_site_calm.cc.
+    // The check for lost work: see virtual_site_lost_work.cc.
     bool hasActiveFault() const;
     void recordFault() { this->lastFaultAt = this->now; }
     void checkLostWork();
@@ -248,7 +252,8 @@
 
     void poll(const PollOrder& order);
 
-    // The policy of every queue that has one: workers of even number may run its steps.
+    // Answers for the policy of every queue that has one: workers with an even number may run its
+    // steps.
     void answerAdvice(const AdviceOrder& order);
     std::string ticketOf(const StepKey& step, const std::string& worker) const;
 
@@ -275,12 +280,12 @@
     Millis roundDuration { 0 };
     bool pollsBetweenTurns { false };
     int suppressedStarts { 0 };
-    std::map<std::string, Millis> crashDelays; // Jobs whose first task crashes its worker, and how long after its start.
-    std::map<TaskRef, std::int64_t> crashes; // Workers that crashed under a task.
-    std::map<TaskRef, std::int64_t> startsAfterCrashes; // After the third.
+    std::map<std::string, Millis> crashDelays; // Time after the start at which a job's first task crashes its worker.
+    std::map<TaskRef, std::int64_t> crashes; // Number of workers that crashed while running a task.
+    std::map<TaskRef, std::int64_t> startsAfterCrashes; // Number of starts after the third crash.
     std::map<UnitKey, std::set<std::int64_t>> failedRuns;
-    std::map<UnitKey, std::set<std::string>> failedOn; // Workers.
-    std::set<TaskRef> reportedDone; // In an answer that a planner got.
+    std::map<UnitKey, std::set<std::string>> failedOn; // Ids of workers.
+    std::set<TaskRef> reportedDone; // Tasks whose successful end a planner has received.
     std::set<std::string> cancelled;
     Millis lastFaultAt { 0 };
     LostWorkDetector lostWorkDetector;
@@ -290,13 +295,13 @@
     std::multimap<Millis, std::function<void()>> events;
     std::int64_t offset { 0 };
     std::int64_t term { 0 };
-    int plannerGeneration { 0 }; // Counts planners, so that none gets another's answers.
+    int plannerGeneration { 0 }; // Incremented for each planner, so that no planner receives another's answers.
     std::map<std::string, std::int64_t> startCounts;
     std::map<RunEnd, std::int64_t> endCounts;
     std::set<TaskRef> done;
     std::set<TaskRef> acknowledgedDone;
     std::map<TaskRef, std::set<std::int64_t>> acknowledgedFailures;
-    std::map<std::tuple<std::string, std::int64_t, std::int64_t, std::int64_t>, bool> endedGangs; // Gang runs of which a member ended: done or not.
+    std::map<std::tuple<std::string, std::int64_t, std::int64_t, std::int64_t>, bool> endedGangs; // Gang runs of which a member ended; true if it completed.
 };
 
 } // namespace rattan::tasks::testing
--- a/src/tasks/testing/virtual_site_lost_work.cc
+++ b/src/tasks/testing/virtual_site_lost_work.cc
@@ -1,4 +1,5 @@
-// What a judge of lost work is shown of a site, and when: never near a fault.
+// The input of the lost work detector for a site. The detector is not run while a fault is
+// active or recent.
 
 #include "tasks/testing/virtual_site.h"
 
@@ -16,7 +17,8 @@
     return std::any_of(this->workers.begin(), this->workers.end(), [](const auto& row) { return !row.second.crashed && (row.second.isPartitioned || row.second.isStalled || row.second.failsAll); });
 }
 
-// Runs on a worker that is gone are given up a lease later.
+// The planner gives up the runs of an unreachable worker after one lease, so that checks start
+// only after that time.
 void VirtualSite::checkLostWork()
 {
     constexpr Millis checkInterval = 100;
@@ -44,12 +46,13 @@
             view.usedAccelerators += run.room.accelerators;
         }
         view.accelerators += worker.capacity.accelerators;
-        constexpr int failureLimit = 2; // After as many a planner may do without it.
+        constexpr int failureLimit = 2; // After this many failures the planner may stop using the worker.
         if (!worker.leaving && !worker.wasStalled && worker.consecutiveFailures < failureLimit)
             view.workers.push_back({ id, "s", worker.rack, { "k", worker.rack }, free });
     }
     for (const auto& [id, job] : this->jobs) {
-        // Where advice or the calendar decides as well, it cannot be told from here.
+        // For jobs that also depend on advice or on a calendar, the site cannot determine whether
+        // they should run.
         const bool isPending = !this->cancelled.contains(id) && !isFinal(this->stateOf(id)) && !this->hasExhaustedAttempts(id);
         if (isPending && job.repeats == 0 && job.terms.advice.valid == 0)
             view.jobs.push_back(&job);
--- a/src/tasks/testing/virtual_site_workers.cc
+++ b/src/tasks/testing/virtual_site_workers.cc
@@ -1,4 +1,4 @@
-// Workers as they are: leases, runs and their ends, and the judge of every start.
+// Workers: their leases, their runs and the ends of those, and the check of every start.
 
 #include "tasks/testing/virtual_site.h"
 
@@ -132,9 +132,9 @@
         WorkerSighting sighting;
         sighting.incarnation = { id, worker.born };
         sighting.address = id;
-        sighting.service = std::string("s"); // GCC 12 warns wrongly where a literal of one letter is assigned.
+        sighting.service = std::string("s"); // GCC 12 gives a false warning if a one-letter literal is assigned.
         sighting.rack = worker.rack;
-        sighting.domain = worker.rack; // Each rack is a failure domain of its own.
+        sighting.domain = worker.rack; // Each rack is a separate failure domain.
         sighting.labels = { "k", worker.rack };
         sighting.capacity = worker.capacity;
         sighting.leaving = worker.leaving;
@@ -223,7 +223,7 @@
         this->reportViolation("three times more after three crashes", order);
 }
 
-// A start is held against a smaller capacity only once the list must have shown it.
+// A reduced capacity applies only once the list must have shown it.
 void VirtualSite::checkCapacity(const StartOrder& order, const Worker& worker)
 {
     constexpr Millis maxListDelay = 4500;
@@ -263,7 +263,7 @@
         return std::nullopt;
     worker.highestTerm = term;
     worker.leaseEnd = std::max(worker.leaseEnd, until);
-    this->acknowledge(worker, order.acknowledged); // It cannot tell which incarnation the number is of.
+    this->acknowledge(worker, order.acknowledged); // The worker cannot know which incarnation the number belongs to.
     WorkerReport report;
     report.clock = this->now - worker.born;
     report.born = worker.born;
@@ -337,7 +337,7 @@
             continue;
         run.remaining = std::max<Millis>(run.remaining - stepMillis, 0);
         if (run.gangSize > 1 && run.remaining == 0 && !this->allMembersFinished(ref))
-            continue; // Members of a gang end together.
+            continue; // All members of a gang end at the same time.
         if (run.willFail && run.remaining < run.totalWork / 2)
             endedRuns.emplace_back(ref, RunEnd::Failed);
         else if (run.remaining <= 0)
