--- a/src/tasks/testing/stop_before_start_test.cc
+++ b/src/tasks/testing/stop_before_start_test.cc
@@ -1,5 +1,6 @@
-// Stops that reach a worker before the start of their run, and a planner that has its turn
-// rarely: each of its turns sends such a stop again, together with the poll that would settle it.
+// A stop that reaches a worker before the start of its run, with a planner that has infrequent
+// turns: each turn sends the stop again, together with the poll that would confirm the end of
+// the run.
 
 #include "tasks/testing/virtual_site.h"
 
@@ -12,7 +13,7 @@
 
 namespace {
 
-Job job(const std::string& id)
+Job createJob(const std::string& id)
 {
     Job result;
     result.id = id;
@@ -22,46 +23,46 @@
     return result;
 }
 
-std::string placedOn(const VirtualSite& site)
+std::string workerOfPlacedUnit(const VirtualSite& site)
 {
     const auto placed = std::find_if(site.planEvents.begin(), site.planEvents.end(), [](const PlanEvent& event) { return event.kind == PlanEventKind::UnitPlaced; });
     return placed == site.planEvents.end() ? "" : placed->worker;
 }
 
-class LateStopTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(LateStopTest);
-    CPPUNIT_TEST(aRunThatWasStoppedBeforeItsStartIsSettledWithFewTurns);
-    CPPUNIT_TEST(aRunThatWasStoppedBeforeItsStartIsSettledWithManyTurns);
+class StopBeforeStartTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(StopBeforeStartTest);
+    CPPUNIT_TEST(stopBeforeStartEndsTheRunWithFewPlannerTurns);
+    CPPUNIT_TEST(stopBeforeStartEndsTheRunWithManyPlannerTurns);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against a task that waits for ever for the end of a run that never began.
-    void aRunThatWasStoppedBeforeItsStartIsSettledWithFewTurns() { this->stopBeforeStart(1000); }
-    void aRunThatWasStoppedBeforeItsStartIsSettledWithManyTurns() { this->stopBeforeStart(250); }
+    // Guards against a task that waits forever for the end of a run that never started.
+    void stopBeforeStartEndsTheRunWithFewPlannerTurns() { this->stopBeforeStart(1000); }
+    void stopBeforeStartEndsTheRunWithManyPlannerTurns() { this->stopBeforeStart(250); }
 
 private:
-    void stopBeforeStart(Millis gap)
+    void stopBeforeStart(Millis plannerInterval)
     {
         VirtualSite site({ .seed = 38, .workers = 4, .failures = 0 });
         site.newPlanner();
         site.run(2000);
-        site.planEvery(gap);
+        site.setPlannerInterval(plannerInterval);
         site.delayStarts(100);
-        site.submit(job("j"));
-        while (site.now < 6000 && placedOn(site).empty())
+        site.submit(createJob("j"));
+        while (site.now < 6000 && workerOfPlacedUnit(site).empty())
             site.run(site.now + 5);
-        CPPUNIT_ASSERT(!placedOn(site).empty());
-        site.run(site.now + 100); // It is recorded by now, and the start is decided.
+        CPPUNIT_ASSERT(!workerOfPlacedUnit(site).empty());
+        site.run(site.now + 100); // By now the placement is recorded and the start is decided.
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.runsOf("j"));
-        site.leave(placedOn(site));
-        site.run(site.now + gap + 200);
+        site.leave(workerOfPlacedUnit(site));
+        site.run(site.now + plannerInterval + 200);
         site.delayStarts(0);
-        site.runUntilOver(site.now + 25000);
-        CPPUNIT_ASSERT_MESSAGE(site.broken.empty() ? "" : site.broken.front(), site.broken.empty());
-        CPPUNIT_ASSERT(site.allOver());
+        site.runUntilFinished(site.now + 25000);
+        CPPUNIT_ASSERT_MESSAGE(site.violations.empty() ? "" : site.violations.front(), site.violations.empty());
+        CPPUNIT_ASSERT(site.allFinished());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LateStopTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(StopBeforeStartTest);
 
 } // namespace
