--- a/src/instance/control_loop.h
+++ b/src/instance/control_loop.h
@@ -23,7 +23,7 @@
 #include "instance/gateway.h"
 #include "instance/leadership.h"
 #include "instance/planner_watch.h"
-#include "instance/relay.h"
+#include "instance/request_forwarder.h"
 #include "instance/settings.h"
 #include "instance/stream_reader.h"
 #include "instance/traffic_report.h"
--- a/src/instance/relay_answer.cc
+++ b/src/instance/forwarded_answer.cc
@@ -1,4 +1,4 @@
-#include "instance/relay_answer.h"
+#include "instance/forwarded_answer.h"
 
 namespace rattan::instance {
 
--- a/src/instance/relay_peers.cc
+++ b/src/instance/forwarding_peers.cc
@@ -1,4 +1,4 @@
-#include "instance/relay_peers.h"
+#include "instance/forwarding_peers.h"
 
 #include <algorithm>
 
--- a/src/instance/leadership.h
+++ b/src/instance/leadership.h
@@ -19,7 +19,7 @@
 #include "instance/settings.h"
 #include "instance/store_protocol.h"
 #include "instance/stream_reader.h"
-#include "instance/term_stream.h"
+#include "instance/term_appender.h"
 #include "instance/worker_clocks.h"
 #include "tasks/election.h"
 #include "tasks/task_planner.h"
--- a/src/instance/program.cc
+++ b/src/instance/program.cc
@@ -6,7 +6,7 @@
 #include "base/stop_signal.h"
 #include "http/server.h"
 #include "instance/events.h"
-#include "instance/stop_plan.h"
+#include "instance/shutdown_schedule.h"
 
 #include <fmt/format.h>
 #include <thread>
--- a/src/instance/relay.cc
+++ b/src/instance/request_forwarder.cc
@@ -1,7 +1,7 @@
-#include "instance/relay.h"
+#include "instance/request_forwarder.h"
 
 #include "instance/events.h"
-#include "instance/relay_answer.h"
+#include "instance/forwarded_answer.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/instance/relay.h
+++ b/src/instance/request_forwarder.h
@@ -18,7 +18,7 @@
 
 #include "http/async_client.h"
 #include "instance/caller_protocol.h"
-#include "instance/relay_peers.h"
+#include "instance/forwarding_peers.h"
 
 #include <functional>
 #include <limits>
--- a/src/instance/testing/relay_test.cc
+++ b/src/instance/testing/request_forwarder_test.cc
@@ -1,4 +1,4 @@
-#include "instance/relay.h"
+#include "instance/request_forwarder.h"
 
 #include "http/server.h"
 #include "http/testing/dropping_peer.h"
--- a/src/instance/testing/stop_plan_test.cc
+++ b/src/instance/testing/shutdown_schedule_test.cc
@@ -1,4 +1,4 @@
-#include "instance/stop_plan.h"
+#include "instance/shutdown_schedule.h"
 
 #include "instance/gateway.h"
 #include "instance/settings.h"
--- a/src/instance/testing/term_stream_test.cc
+++ b/src/instance/testing/term_appender_test.cc
@@ -1,4 +1,4 @@
-#include "instance/term_stream.h"
+#include "instance/term_appender.h"
 
 #include "http/server.h"
 
