--- a/src/instance/caller_protocol.h
+++ b/src/instance/caller_protocol.h
@@ -25,10 +25,10 @@
     RequestKind kind { RequestKind::Other };
     std::string host;
     std::string path;
-    std::string key; // Empty: none was sent.
-    Millis patience { 0 }; // How long the caller waits; 0: not told.
+    std::string apiKey; // Empty: none was sent.
+    Millis timeout { 0 }; // How long the caller waits; 0: not told.
     std::string body;
-    bool relayed { false }; // Another instance passed it on.
+    bool forwarded { false }; // Another instance passed it on.
 };
 
 enum class Outcome {
@@ -55,7 +55,7 @@
     Millis retryAfter { 0 };
     std::string message; // For people.
     std::int64_t configurationVersion { 0 }; // Of the text it rests on, for the instance that passed the request on; 0: not told.
-    bool wantsStore { false }; // Given for want of the store: an instance that reaches it may know better.
+    bool givenWithoutStore { false }; // Given for want of the store: an instance that reaches it may know better.
 };
 
 class CallerProtocol {
--- a/src/instance/claim_record.cc
+++ b/src/instance/claim_record.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-    constexpr std::size_t longestHolder = 200;
+    constexpr std::size_t maxHolderLength = 200;
 
 } // namespace
 
-std::string holderText(const std::string& instance, const std::string& callerAddress, const std::string& process)
+std::string formatHolder(const std::string& instance, const std::string& callerAddress, const std::string& process)
 {
     return fmt::format("{}@{}/{}", instance, callerAddress, process);
 }
@@ -40,7 +40,7 @@
     JsonReader reader(*json.value, "instance.claim");
     tasks::Claim claim;
     claim.term = reader.number("term", 1, std::numeric_limits<std::int64_t>::max());
-    claim.holder = reader.text("holder", 0, longestHolder);
+    claim.holder = reader.text("holder", 0, maxHolderLength);
     claim.renewal = reader.number("renewal", 0, std::numeric_limits<std::int64_t>::max());
     return reader.finish(claim);
 }
--- a/src/instance/claim_record.h
+++ b/src/instance/claim_record.h
@@ -14,7 +14,7 @@
 inline constexpr std::string_view claimKey = "planner";
 
 // The process that claims: its instance, where callers reach that, and digits of its own.
-std::string holderText(const std::string& instance, const std::string& callerAddress, const std::string& process);
+std::string formatHolder(const std::string& instance, const std::string& callerAddress, const std::string& process);
 
 // Where callers reach the holder; empty if the claim has none.
 std::string addressOfHolder(const std::string& holder);
--- a/src/instance/control_loop.cc
+++ b/src/instance/control_loop.cc
@@ -19,13 +19,13 @@
 
     StreamReaderOptions readerOptions(const InstanceSettings& settings, Stream stream)
     {
-        StreamReaderOptions options { .stream = stream, .address = settings.storeAddress, .wait = stream == Stream::Configuration ? configurationWait : usualWait };
+        StreamReaderOptions options { .stream = stream, .address = settings.storeAddress, .wait = stream == Stream::Configuration ? configurationReadWait : streamReadWait };
         if (stream == Stream::Jobs)
-            options.gather = jobsGather;
+            options.batchInterval = jobsBatchInterval;
         if (stream == Stream::Plans)
             options.wait = 0;
-        if (stream == Stream::Claims && settings.processorShare < enoughToPlan)
-            options.gather = weakClaimsGather;
+        if (stream == Stream::Claims && settings.processorCores < minPlanningCores)
+            options.batchInterval = weakClaimsBatchInterval;
         return options;
     }
 
@@ -34,17 +34,17 @@
         constexpr std::size_t processDigits = 8;
         tasks::ElectionOptions options;
         options.machine = fmt::format("{}@{}", settings.name, settings.callerAddress);
-        options.holder = holderText(settings.name, settings.callerAddress, randomHex(processDigits));
-        const double weakness = 1 - std::min(settings.processorShare / enoughToPlan, 1.0);
-        options.jitter = static_cast<Millis>(randomBelow(electionJitter)) + static_cast<Millis>(weakness * static_cast<double>(weakestWaits));
+        options.holder = formatHolder(settings.name, settings.callerAddress, randomHex(processDigits));
+        const double weakness = 1 - std::min(settings.processorCores / minPlanningCores, 1.0);
+        options.jitter = static_cast<Millis>(randomBelow(maxElectionJitter)) + static_cast<Millis>(weakness * static_cast<double>(maxWeaknessDelay));
         return options;
     }
 
     GatewayOptions gatewayOptions(const InstanceSettings& settings)
     {
-        constexpr double trustedShare = 0.8; // Of the time after which a withdrawn key must not work.
+        constexpr double maxAgeShare = 0.8; // Of the time after which a withdrawn key must not work.
         GatewayOptions options;
-        options.configurationTrusted = static_cast<Millis>(static_cast<double>(settings.keyExpiry) * trustedShare);
+        options.maxConfigurationAge = static_cast<Millis>(static_cast<double>(settings.keyExpiry) * maxAgeShare);
         return options;
     }
 
@@ -57,17 +57,17 @@
     , metrics(metrics)
     , client({ .connectionsPerPeer = connectionsPerPeer }, clock)
     , gateway(gatewayOptions(this->settings), protocols.callers, this->jobs)
-    , relay(this->client, protocols.callers, clock, this->settings.callerAddress)
+    , requestForwarder(this->client, protocols.callers, clock, this->settings.callerAddress)
     , configurationReader(this->client, protocols.store, clock, readerOptions(this->settings, Stream::Configuration), *this)
     , jobsReader(this->client, protocols.store, clock, readerOptions(this->settings, Stream::Jobs), *this)
     , claimsReader(this->client, protocols.store, clock, readerOptions(this->settings, Stream::Claims), *this)
     , plansReader(this->client, protocols.store, clock, readerOptions(this->settings, Stream::Plans), *this)
     , election(electionOptions(this->settings), clock.now())
     , deliveries(this->settings.peerAddress, [this] { this->client.wake(); })
-    , carrier(this->jobs, this->deliveries, clock, [this](std::uint64_t session) { return this->channelFor(session); })
-    , roster({ this->settings.processorShare, this->settings.linkMegabits })
+    , orderForwarder(this->jobs, this->deliveries, clock, [this](std::uint64_t session) { return this->channelFor(session); })
+    , roster({ this->settings.processorCores, this->settings.linkMegabitsPerSecond })
     , catalog(std::make_shared<tasks::Catalog>())
-    , commands(mostCommands)
+    , requestQueue(maxQueuedRequests)
     , trafficReport(metrics)
 {
 }
@@ -78,7 +78,7 @@
 {
     this->openPeerSocket();
     this->startDeliveries();
-    this->thread = std::thread([this] { this->run(); });
+    this->thread = std::thread([this] { this->runLoop(); });
 }
 
 void ControlLoop::stop()
@@ -90,166 +90,166 @@
     this->deliveries.stop();
 }
 
-void ControlLoop::drain(Millis lastAnswerAt)
+void ControlLoop::drain(Millis answerDeadline)
 {
-    this->lastAnswerAt = lastAnswerAt;
+    this->answerDeadline = answerDeadline;
     this->draining = true;
     this->client.wake();
 }
 
-void ControlLoop::apply(const InstanceSettings& fresh)
+void ControlLoop::apply(const InstanceSettings& newSettings)
 {
-    const std::lock_guard lock(this->freshMutex);
-    this->fresh = fresh;
+    const std::lock_guard lock(this->newSettingsMutex);
+    this->newSettings = newSettings;
 }
 
-CallerAnswer ControlLoop::ask(CallerRequest request)
+CallerAnswer ControlLoop::handleRequest(CallerRequest request)
 {
-    Command command { .request = std::move(request), .answer = {} };
-    std::future<CallerAnswer> answer = command.answer.get_future();
-    if (this->stopping || !this->commands.tryPush(std::move(command)))
+    QueuedRequest queued { .request = std::move(request), .answer = {} };
+    std::future<CallerAnswer> answer = queued.answer.get_future();
+    if (this->stopping || !this->requestQueue.tryPush(std::move(queued)))
         return { .outcome = Outcome::NotNow, .retryAfter = 1000, .message = "too many requests wait" };
     this->client.wake();
     return answer.get();
 }
 
-void ControlLoop::run()
+void ControlLoop::runLoop()
 {
     while (!this->stopping) {
-        const Millis begun = this->clock.now();
-        this->round();
+        const Millis startedAt = this->clock.now();
+        this->step();
         const Millis now = this->clock.now();
-        const Millis wait = std::clamp<Millis>(this->nextWake(now, this->clock.wall()) - now, 0, longestWait);
+        const Millis wait = std::clamp<Millis>(this->nextWake(now, this->clock.wall()) - now, 0, maxLoopWait);
         this->client.run(std::chrono::milliseconds(wait));
-        const Millis late = this->clock.now() - begun - wait;
-        if (late >= slowTurn)
-            logEvent(events::slowTurn, { { "late_ms", late }, { "round_ms", now - begun }, { "leads", this->leadership ? 1 : 0 } });
+        const Millis late = this->clock.now() - startedAt - wait;
+        if (late >= slowIterationThreshold)
+            logEvent(events::slowIteration, { { "late_ms", late }, { "round_ms", now - startedAt }, { "leads", this->leadership ? 1 : 0 } });
     }
     this->endTerm("the program stops");
-    this->commands.close();
-    while (auto command = this->commands.pop())
-        command->answer.set_value({ .outcome = Outcome::NotNow, .retryAfter = 1000, .message = "this instance stops" });
+    this->requestQueue.close();
+    while (auto queued = this->requestQueue.pop())
+        queued->answer.set_value({ .outcome = Outcome::NotNow, .retryAfter = 1000, .message = "this instance stops" });
     this->answerAll({ .outcome = Outcome::Unknown, .message = "this instance stops" });
 }
 
-void ControlLoop::round()
+void ControlLoop::step()
 {
     const Millis now = this->clock.now();
     const Millis wall = this->clock.wall();
     this->client.useGroup(0);
-    this->takeSettings();
-    this->takeCommands(now, wall);
+    this->applyNewSettings();
+    this->acceptRequests(now, wall);
     this->configurationReader.step(now);
     // Whoever carries starts needs the text of their jobs as soon as the planner has it.
-    this->jobsReader.hurry(this->leadership || this->carrier.isUsed() || this->gateway.awaitsEnd());
+    this->jobsReader.setLowLatency(this->leadership || this->orderForwarder.isUsed() || this->gateway.isAwaitingJobEnd());
     this->jobsReader.step(now);
     this->claimsReader.step(now);
-    if (this->gateway.wantsRead() || (this->leadership && this->leadership->wantsRead()))
+    if (this->gateway.needsJobsRead() || (this->leadership && this->leadership->needsJobsRead()))
         this->jobsReader.probe();
-    this->gateway.answerEverythingBy(this->lastAnswerAt);
-    this->relay.answerEverythingBy(this->lastAnswerAt);
+    this->gateway.setAnswerDeadline(this->answerDeadline);
+    this->requestForwarder.setAnswerDeadline(this->answerDeadline);
     this->gateway.step(now);
     this->appendRecords(now);
     this->answerCallers();
     // Requests that another instance has not answered yet.
-    if (now >= this->lastAnswerAt)
+    if (now >= this->answerDeadline)
         this->answerAll({ .outcome = Outcome::Unknown, .message = "this instance stops" });
     this->watchPlanner(now);
     this->runElection(now);
-    this->lead(now, wall);
-    this->takeDeliveries(now);
-    this->isReady = this->gateway.ready(now);
+    this->stepLeadership(now, wall);
+    this->processDeliveryEvents(now);
+    this->gatewayReady = this->gateway.isReady(now);
     this->publishGauges(now);
 }
 
 Millis ControlLoop::nextWake(Millis now, Millis wall) const
 {
-    return std::min(this->carrier.nextWake(), this->leadership ? this->leadership->nextWake(now, wall) : now + longestWait);
+    return std::min(this->orderForwarder.nextWake(), this->leadership ? this->leadership->nextWake(now, wall) : now + maxLoopWait);
 }
 
-void ControlLoop::takeCommands(Millis now, Millis wall)
+void ControlLoop::acceptRequests(Millis now, Millis wall)
 {
-    while (this->commands.size() > 0) {
-        std::optional<Command> command = this->commands.popFor(std::chrono::milliseconds(0));
-        if (!command)
+    while (this->requestQueue.size() > 0) {
+        std::optional<QueuedRequest> queued = this->requestQueue.popFor(std::chrono::milliseconds(0));
+        if (!queued)
             return;
         const std::uint64_t ticket = ++this->lastTicket;
-        this->gateway.ask(ticket, command->request, now, wall);
-        this->asked.emplace(ticket, Asked { std::move(command->answer), std::move(command->request) });
+        this->gateway.handleRequest(ticket, queued->request, now, wall);
+        this->unansweredRequests.emplace(ticket, UnansweredRequest { std::move(queued->answer), std::move(queued->request) });
     }
 }
 
 // Times and bounds are taken while running. Addresses are where others know this
 // instance to be, so they stay until the next start.
-void ControlLoop::takeSettings()
+void ControlLoop::applyNewSettings()
 {
-    const std::lock_guard lock(this->freshMutex);
-    if (!this->fresh)
+    const std::lock_guard lock(this->newSettingsMutex);
+    if (!this->newSettings)
         return;
-    this->settings.longestLease = this->fresh->longestLease;
-    this->settings.stopTimeout = this->fresh->stopTimeout;
-    this->settings.statusKept = this->fresh->statusKept;
-    this->settings.grace = this->fresh->grace;
-    this->fresh.reset();
+    this->settings.maxLease = this->newSettings->maxLease;
+    this->settings.stopTimeout = this->newSettings->stopTimeout;
+    this->settings.statusRetention = this->newSettings->statusRetention;
+    this->settings.grace = this->newSettings->grace;
+    this->newSettings.reset();
 }
 
 void ControlLoop::answerCallers()
 {
     for (GatewayAnswer& answered : this->gateway.takeAnswers()) {
-        const auto found = this->asked.find(answered.ticket);
-        if (found == this->asked.end())
+        const auto found = this->unansweredRequests.find(answered.ticket);
+        if (found == this->unansweredRequests.end())
             continue;
-        if (!this->relay.wants(found->second.request, answered.answer, answered.waited)) {
+        if (!this->requestForwarder.shouldForward(found->second.request, answered.answer, answered.waitTime)) {
             this->answerCaller(answered);
             continue;
         }
         this->metrics.count("rattan_relayed_total", { { "for_want_of", std::string(nameOf(answered.answer.outcome)) } });
         answered.answer.configurationVersion = this->catalog->version;
-        const Millis passedAt = this->clock.now();
-        this->relay.pass(found->second.request, answered.answer, answered.waited, [this, answered, passedAt](const CallerAnswer& answer) {
-            this->gateway.configurationUsedElsewhere(answer.configurationVersion);
-            GatewayAnswer relayed = answered;
-            relayed.answer = answer;
-            relayed.waited += this->clock.now() - passedAt;
-            this->answerCaller(relayed);
+        const Millis forwardedAt = this->clock.now();
+        this->requestForwarder.forward(found->second.request, answered.answer, answered.waitTime, [this, answered, forwardedAt](const CallerAnswer& answer) {
+            this->gateway.requireConfigurationVersion(answer.configurationVersion);
+            GatewayAnswer forwarded = answered;
+            forwarded.answer = answer;
+            forwarded.waitTime += this->clock.now() - forwardedAt;
+            this->answerCaller(forwarded);
         });
     }
 }
 
 void ControlLoop::answerCaller(const GatewayAnswer& answered)
 {
-    const auto found = this->asked.find(answered.ticket);
-    if (found == this->asked.end())
+    const auto found = this->unansweredRequests.find(answered.ticket);
+    if (found == this->unansweredRequests.end())
         return;
     const Outcome outcome = answered.answer.outcome;
     constexpr double millisPerSecond = 1000;
     this->metrics.count("rattan_requests_total", { { "outcome", std::string(nameOf(outcome)) } });
-    this->metrics.observe("rattan_request_seconds", {}, static_cast<double>(answered.waited) / millisPerSecond);
-    const bool plain = found->second.request.kind == RequestKind::State && (outcome == Outcome::State || outcome == Outcome::Pending);
-    if (!plain)
-        logEvent(events::answered, { { "outcome", nameOf(outcome) }, { "job", answered.job }, { "waited_ms", answered.waited }, { "configuration", this->catalog->version }, { "why", answered.answer.message } });
+    this->metrics.observe("rattan_request_seconds", {}, static_cast<double>(answered.waitTime) / millisPerSecond);
+    const bool isStateReply = found->second.request.kind == RequestKind::State && (outcome == Outcome::State || outcome == Outcome::Pending);
+    if (!isStateReply)
+        logEvent(events::callerAnswered, { { "outcome", nameOf(outcome) }, { "job", answered.jobId }, { "waited_ms", answered.waitTime }, { "configuration", this->catalog->version }, { "why", answered.answer.message } });
     CallerAnswer answer = answered.answer;
-    answer.configurationVersion = found->second.request.relayed ? this->catalog->version : 0;
+    answer.configurationVersion = found->second.request.forwarded ? this->catalog->version : 0;
     found->second.answer.set_value(std::move(answer));
-    this->asked.erase(found);
+    this->unansweredRequests.erase(found);
 }
 
 void ControlLoop::answerAll(const CallerAnswer& answer)
 {
-    for (auto& [ticket, waiting] : this->asked) {
-        const std::string& path = waiting.request.path;
+    for (auto& [ticket, unanswered] : this->unansweredRequests) {
+        const std::string& path = unanswered.request.path;
         this->metrics.count("rattan_requests_total", { { "outcome", std::string(nameOf(answer.outcome)) } });
-        logEvent(events::answered, { { "outcome", nameOf(answer.outcome) }, { "job", path.substr(path.rfind('/') + 1) }, { "configuration", this->catalog->version }, { "why", answer.message } });
-        waiting.answer.set_value(answer);
+        logEvent(events::callerAnswered, { { "outcome", nameOf(answer.outcome) }, { "job", path.substr(path.rfind('/') + 1) }, { "configuration", this->catalog->version }, { "why", answer.message } });
+        unanswered.answer.set_value(answer);
     }
-    this->asked.clear();
+    this->unansweredRequests.clear();
 }
 
 void ControlLoop::appendRecords(Millis now)
 {
-    if (this->appendUnderWay || now < this->nextAppendAt)
+    if (this->appendInFlight || now < this->nextAppendAt)
         return;
-    const std::vector<StoreRecord> records = this->gateway.takeRecords(mostRecordsAtOnce, mostBytesAtOnce);
+    const std::vector<StoreRecord> records = this->gateway.takeRecords(maxRecordsPerAppend, maxBytesPerAppend);
     if (records.empty())
         return;
     std::vector<std::string> keys;
@@ -261,30 +261,30 @@
     call.address = this->settings.storeAddress;
     call.timeout = appendTimeout;
     call.connectTimeout = connectTimeout;
-    this->appendUnderWay = true;
+    this->appendInFlight = true;
     this->metrics.count("rattan_store_calls_total", { { "call", "append" } });
     this->client.send(std::move(call), [this, keys](const http::Reply& reply) {
-        this->appendUnderWay = false;
+        this->appendInFlight = false;
         const AppendStatus status = this->protocols.store.parseAppend(reply).status;
         const Millis now = this->clock.now();
         if (reply.transmissions > 1)
             logEvent(events::appendRepeated, { { "stream", "jobs" }, { "status", nameOf(status) }, { "http_status", reply.status }, { "transmissions", reply.transmissions }, { "keys", fmt::format("{}", fmt::join(keys, ",")) } });
         if (status != AppendStatus::Appended) {
-            this->nextAppendAt = now + appendPause;
+            this->nextAppendAt = now + appendRetryDelay;
             logEvent(events::appendFailed, { { "stream", "jobs" }, { "status", nameOf(status) }, { "http_status", reply.status }, { "transmissions", reply.transmissions }, { "records", keys.size() }, { "keys", fmt::format("{}", fmt::join(keys, ",")) } });
         }
-        this->gateway.appended(keys, status, now);
+        this->gateway.appendCompleted(keys, status, now);
     });
 }
 
 void ControlLoop::publishGauges(Millis now)
 {
-    if (now < this->gaugesAt)
+    if (now < this->nextGaugesAt)
         return;
-    this->gaugesAt = now + gaugesEvery;
+    this->nextGaugesAt = now + gaugesInterval;
     this->metrics.set("rattan_configuration_version", {}, static_cast<double>(this->catalog->version));
     this->metrics.set("rattan_leads", {}, this->leadership ? 1 : 0);
-    this->metrics.set("rattan_requests_waiting", {}, static_cast<double>(this->gateway.waiting()));
+    this->metrics.set("rattan_requests_waiting", {}, static_cast<double>(this->gateway.waitingCount()));
     this->trafficReport.publish(this->client.traffic(), now);
     constexpr double millisPerSecond = 1000;
     if (this->leadership)
--- a/src/instance/control_loop.h
+++ b/src/instance/control_loop.h
@@ -45,7 +45,7 @@
     const StoreProtocol& store;
     const delivery::WorkerProtocol& workers;
     const CallerProtocol& callers;
-    const ConfigurationProtocol& text;
+    const ConfigurationProtocol& configuration;
 };
 
 class ControlLoop final : public StreamHandler {
@@ -60,15 +60,15 @@
 
     // Gives the term up, so that another instance follows at once. Whatever is asked is
     // answered by that time, also where the outcome is not known by then.
-    void drain(Millis lastAnswerAt);
+    void drain(Millis answerDeadline);
 
     // Settings that were read again; taken by the loop's next round.
     void apply(const InstanceSettings&);
 
-    CallerAnswer ask(CallerRequest);
+    CallerAnswer handleRequest(CallerRequest);
 
     // Whether this instance wants new connections.
-    bool ready() const { return this->isReady && !this->draining; }
+    bool isReady() const { return this->gatewayReady && !this->draining; }
 
     void recordRead(Stream, const StoreRecord&, Millis now) override;
     void loadBegun(Stream) override;
@@ -76,41 +76,41 @@
     void streamFailed(Stream, const std::string& why, Millis now) override;
 
 private:
-    struct Command {
+    struct QueuedRequest {
         CallerRequest request;
         std::promise<CallerAnswer> answer;
     };
 
     // One waiter of the two sides: the caller's thread and the loop.
-    struct Asked {
+    struct UnansweredRequest {
         std::promise<CallerAnswer> answer;
         CallerRequest request;
     };
 
-    void run();
-    void round();
-    void takeSettings();
-    void takeCommands(Millis now, Millis wall);
+    void runLoop();
+    void step();
+    void applyNewSettings();
+    void acceptRequests(Millis now, Millis wall);
     void answerCallers();
     void answerCaller(const GatewayAnswer&);
     void answerAll(const CallerAnswer&);
     void appendRecords(Millis now);
     void runElection(Millis now);
-    bool readyToClaim(Millis now);
+    bool isReadyToClaim(Millis now);
     void sendClaim(const tasks::Election::Append&);
     void openPeerSocket();
     void startDeliveries();
     void watchPlanner(Millis now);
     void receiveDatagrams(Millis now);
-    void offerRelay(Millis now);
-    void takeDeliveries(Millis now);
+    void sendRelayOffer(Millis now);
+    void processDeliveryEvents(Millis now);
     std::unique_ptr<delivery::WorkerChannel> channelFor(std::uint64_t session);
-    void delivered(const delivery::OrdersArrived& orders, Millis now) { this->carrier.arrived(orders, now); }
-    void delivered(const delivery::SessionEnded& session, Millis) { this->carrier.ended(session); }
-    void delivered(const delivery::AnswersArrived&, Millis now);
-    void delivered(const delivery::PeerLost&, Millis now);
-    std::string peerOf(const std::string& holder) const;
-    void lead(Millis now, Millis wall);
+    void handleDelivery(const delivery::OrdersArrived& orders, Millis now) { this->orderForwarder.arrived(orders, now); }
+    void handleDelivery(const delivery::SessionEnded& session, Millis) { this->orderForwarder.ended(session); }
+    void handleDelivery(const delivery::AnswersArrived&, Millis now);
+    void handleDelivery(const delivery::PeerLost&, Millis now);
+    std::string peerAddressOf(const std::string& holder) const;
+    void stepLeadership(Millis now, Millis wall);
     void endTerm(const char* why);
     void jobRecordRead(const StoreRecord&, Millis now);
     void configurationRecordRead(const StoreRecord&);
@@ -126,40 +126,40 @@
     tasks::JobTable jobs;
     tasks::PlanTable plans; // As they were when a term of this instance last began.
     Gateway gateway;
-    Relay relay;
+    RequestForwarder requestForwarder;
     StreamReader configurationReader;
     StreamReader jobsReader;
     StreamReader claimsReader;
     StreamReader plansReader;
-    std::map<Stream, bool> reachable;
+    std::map<Stream, bool> reachableStreams;
     tasks::Election election;
     PlannerWatch plannerWatch;
     DatagramSocket peerSocket;
     delivery::DeliveryThread deliveries;
-    delivery::OrderCarrier carrier;
+    delivery::OrderCarrier orderForwarder;
     delivery::RelayRoster roster;
-    Millis offerAt { 0 };
-    bool deliveriesFailed { false };
+    Millis nextOfferAt { 0 };
+    bool deliveryThreadFailed { false };
     std::unique_ptr<Leadership> leadership;
     std::shared_ptr<const tasks::Catalog> catalog;
 
-    BoundedRing<Command> commands;
-    std::map<std::uint64_t, Asked> asked;
+    BoundedRing<QueuedRequest> requestQueue;
+    std::map<std::uint64_t, UnansweredRequest> unansweredRequests;
     std::uint64_t lastTicket { 0 };
-    bool appendUnderWay { false };
-    bool claimUnderWay { false };
+    bool appendInFlight { false };
+    bool claimInFlight { false };
     Millis nextAppendAt { 0 };
-    Millis gaugesAt { 0 };
+    Millis nextGaugesAt { 0 };
     TrafficReport trafficReport;
 
-    std::mutex freshMutex;
-    std::optional<InstanceSettings> fresh; // Read again, and not taken yet.
+    std::mutex newSettingsMutex;
+    std::optional<InstanceSettings> newSettings; // Read again, and not taken yet.
 
     std::thread thread;
     std::atomic<bool> stopping { false };
     std::atomic<bool> draining { false };
-    std::atomic<Millis> lastAnswerAt { std::numeric_limits<Millis>::max() };
-    std::atomic<bool> isReady { false };
+    std::atomic<Millis> answerDeadline { std::numeric_limits<Millis>::max() };
+    std::atomic<bool> gatewayReady { false };
 };
 
 } // namespace rattan::instance
--- a/src/instance/control_loop_delivery.cc
+++ b/src/instance/control_loop_delivery.cc
@@ -15,8 +15,8 @@
     if (this->settings.peerAddress.empty())
         return;
     if (const auto error = attemptVoid([&] { return this->deliveries.start(); }))
-        logEvent(events::carriesNothing, { { "address", this->settings.peerAddress }, { "why", error->message } });
-    this->deliveriesFailed = this->deliveries.hasFailed();
+        logEvent(events::relayingUnavailable, { { "address", this->settings.peerAddress }, { "why", error->message } });
+    this->deliveryThreadFailed = this->deliveries.hasFailed();
 }
 
 // Orders of a session are a group of calls of their own; terms have the numbers above 0.
@@ -26,41 +26,41 @@
     return std::make_unique<delivery::DirectChannel>(this->client, this->protocols.workers, group, [] { return true; });
 }
 
-void ControlLoop::takeDeliveries(Millis now)
+void ControlLoop::processDeliveryEvents(Millis now)
 {
-    if (this->deliveries.hasFailed() && !this->deliveriesFailed) {
-        this->deliveriesFailed = true;
-        logEvent(events::carriesNothing, { { "address", this->settings.peerAddress }, { "why", "its thread has ended" } });
+    if (this->deliveries.hasFailed() && !this->deliveryThreadFailed) {
+        this->deliveryThreadFailed = true;
+        logEvent(events::relayingUnavailable, { { "address", this->settings.peerAddress }, { "why", "its thread has ended" } });
     }
     while (const auto event = this->deliveries.next())
-        std::visit([&](const auto& row) { this->delivered(row, now); }, *event);
-    this->carrier.step(now);
-    this->offerRelay(now);
+        std::visit([&](const auto& delivered) { this->handleDelivery(delivered, now); }, *event);
+    this->orderForwarder.step(now);
+    this->sendRelayOffer(now);
 }
 
-void ControlLoop::delivered(const delivery::AnswersArrived& answers, Millis now)
+void ControlLoop::handleDelivery(const delivery::AnswersArrived& answers, Millis now)
 {
     if (this->leadership)
         this->leadership->answersArrived(answers, now);
 }
 
-void ControlLoop::delivered(const delivery::PeerLost& peer, Millis now)
+void ControlLoop::handleDelivery(const delivery::PeerLost& peer, Millis now)
 {
     if (this->leadership)
         this->leadership->peerLost(peer, now);
 }
 
 // Only where the jobs are known as they are now: a start needs the text of its job.
-void ControlLoop::offerRelay(Millis now)
+void ControlLoop::sendRelayOffer(Millis now)
 {
-    const bool knowsJobs = this->jobsReader.loaded() && now - this->jobsReader.confirmedAt() <= freshEnoughToCarry;
-    if (now < this->offerAt || !knowsJobs || this->deliveriesFailed || this->draining || this->election.leads(now))
+    const bool hasRecentJobs = this->jobsReader.loaded() && now - this->jobsReader.confirmedAt() <= maxJobsAgeForRelaying;
+    if (now < this->nextOfferAt || !hasRecentJobs || this->deliveryThreadFailed || this->draining || this->election.leads(now))
         return;
-    const std::string planner = this->peerOf(this->election.newestClaim().holder);
+    const std::string planner = this->peerAddressOf(this->election.newestClaim().holder);
     if (planner.empty())
         return;
-    this->offerAt = now + offerEvery;
-    const delivery::RelayOffer offer { .peer = {}, .domain = this->settings.domain, .strength = { this->settings.processorShare, this->settings.linkMegabits } };
+    this->nextOfferAt = now + offerInterval;
+    const delivery::RelayOffer offer { .peer = {}, .domain = this->settings.domain, .strength = { this->settings.processorCores, this->settings.linkMegabitsPerSecond } };
     this->peerSocket.send(planner, delivery::encodeOffer(offer));
 }
 
--- a/src/instance/control_loop_streams.cc
+++ b/src/instance/control_loop_streams.cc
@@ -40,21 +40,21 @@
 
 void ControlLoop::configurationRecordRead(const StoreRecord& record)
 {
-    if (!this->protocols.text.isConfiguration(record.key) || record.value.empty())
+    if (!this->protocols.configuration.isConfiguration(record.key) || record.value.empty())
         return;
-    Attempt<tasks::Catalog> text = attempt([&] { return this->protocols.text.parseConfiguration(record.value); });
-    if (!text.value) {
-        logEvent(events::configurationUnreadable, { { "key", record.key }, { "offset", record.offset }, { "why", text.error.message } });
+    Attempt<tasks::Catalog> parsed = attempt([&] { return this->protocols.configuration.parseConfiguration(record.value); });
+    if (!parsed.value) {
+        logEvent(events::configurationUnreadable, { { "key", record.key }, { "offset", record.offset }, { "why", parsed.error.message } });
         return;
     }
-    if (text.value->version < this->catalog->version)
+    if (parsed.value->version < this->catalog->version)
         return;
-    const bool newer = text.value->version > this->catalog->version;
-    this->catalog = std::make_shared<const tasks::Catalog>(std::move(*text.value));
-    this->gateway.configurationRead(this->catalog);
+    const bool isNewer = parsed.value->version > this->catalog->version;
+    this->catalog = std::make_shared<const tasks::Catalog>(std::move(*parsed.value));
+    this->gateway.configurationUpdated(this->catalog);
     if (this->leadership)
         this->leadership->applyCatalog(this->catalog);
-    if (newer)
+    if (isNewer)
         logEvent(events::configurationInForce, { { "version", this->catalog->version }, { "queues", this->catalog->queues.size() }, { "offset", record.offset } });
 }
 
@@ -67,24 +67,24 @@
         logEvent(events::recordUnreadable, { { "stream", "claims" }, { "key", record.key }, { "why", claim.error.message } });
         return;
     }
-    this->carrier.claimed(claim.value->term);
+    this->orderForwarder.claimed(claim.value->term);
     if (claim.value->holder != this->election.newestClaim().holder) {
-        this->offerAt = 0; // The planner that follows needs helpers at once.
+        this->nextOfferAt = 0; // The planner that follows needs helpers at once.
         logEvent(events::leadSeen, { { "term", claim.value->term }, { "holder", claim.value->holder } });
     }
     this->election.recordRead(*claim.value, record.offset, now);
-    this->relay.planned(addressOfHolder(claim.value->holder));
-    this->plannerWatch.claimed({ claim.value->term, this->peerOf(claim.value->holder) }, now);
+    this->requestForwarder.plannerSeen(addressOfHolder(claim.value->holder));
+    this->plannerWatch.plannerChanged({ claim.value->term, this->peerAddressOf(claim.value->holder) }, now);
 }
 
 void ControlLoop::streamConfirmed(Stream stream, std::int64_t end, Millis confirmedAt, Millis now)
 {
-    bool& known = this->reachable[stream];
-    if (!known)
+    bool& isReachable = this->reachableStreams[stream];
+    if (!isReachable)
         logEvent(events::storeRegained, { { "stream", nameOf(stream) }, { "end", end } });
-    if (!known && stream == Stream::Claims)
+    if (!isReachable && stream == Stream::Claims)
         this->election.unreadUntil(now);
-    known = true;
+    isReachable = true;
     if (stream == Stream::Configuration)
         this->gateway.configurationConfirmed(confirmedAt);
     if (stream == Stream::Claims)
@@ -93,7 +93,7 @@
         this->leadership->plansConfirmed(confirmedAt, now, this->clock.wall());
     if (stream != Stream::Jobs)
         return;
-    this->gateway.jobsRead(confirmedAt, now);
+    this->gateway.jobsConfirmed(confirmedAt, now);
     if (this->leadership)
         this->leadership->jobsConfirmed(confirmedAt, now, this->clock.wall());
 }
@@ -103,10 +103,10 @@
     if (stream == Stream::Claims)
         this->election.unreadUntil(now);
     this->metrics.count("rattan_store_failures_total", { { "stream", std::string(nameOf(stream)) } });
-    bool& known = this->reachable[stream];
-    if (known)
+    bool& isReachable = this->reachableStreams[stream];
+    if (isReachable)
         logEvent(events::storeLost, { { "stream", nameOf(stream) }, { "why", why } });
-    known = false;
+    isReachable = false;
 }
 
 } // namespace rattan::instance
--- a/src/instance/control_loop_term.cc
+++ b/src/instance/control_loop_term.cc
@@ -15,10 +15,10 @@
 {
     if (this->draining)
         this->election.retire();
-    const bool isWeak = this->settings.processorShare < enoughToPlan;
-    if (this->claimUnderWay || (isWeak && !this->election.leads(now) && now - this->claimsReader.confirmedAt() > weakClaimsTrusted))
+    const bool isWeak = this->settings.processorCores < minPlanningCores;
+    if (this->claimInFlight || (isWeak && !this->election.leads(now) && now - this->claimsReader.confirmedAt() > maxWeakClaimsAge))
         return;
-    if (this->election.wantsToClaim(now) && !this->readyToClaim(now))
+    if (this->election.wantsToClaim(now) && !this->isReadyToClaim(now))
         return;
     if (const std::optional<tasks::Election::Append> append = this->election.step(now))
         this->sendClaim(*append);
@@ -27,9 +27,9 @@
 // Over a narrow link the plans take longer to load than a term lasts, and the answer to its
 // renewal waits behind them: claimed first, the term would be lost before it begins, and
 // the next one too.
-bool ControlLoop::readyToClaim(Millis now)
+bool ControlLoop::isReadyToClaim(Millis now)
 {
-    const bool isFresh = this->plansReader.loaded() && now - this->plansReader.confirmedAt() <= plansFresh;
+    const bool isFresh = this->plansReader.loaded() && now - this->plansReader.confirmedAt() <= maxPlansAge;
     if (!isFresh)
         this->plansReader.step(now);
     return isFresh;
@@ -37,15 +37,15 @@
 
 void ControlLoop::sendClaim(const tasks::Election::Append& append)
 {
-    http::Call call = this->protocols.store.append(Stream::Claims, { { std::string(claimKey), encodeClaim(append.claim), 0 } }, { .at = append.at, .producer = std::nullopt });
+    http::Call call = this->protocols.store.append(Stream::Claims, { { std::string(claimKey), encodeClaim(append.claim), 0 } }, { .expectedEnd = append.at, .producer = std::nullopt });
     call.purpose = "claim";
     call.address = this->settings.storeAddress;
     call.timeout = std::chrono::milliseconds(claimTimeout);
     call.connectTimeout = connectTimeout;
-    this->claimUnderWay = true;
+    this->claimInFlight = true;
     this->metrics.count("rattan_store_calls_total", { { "call", "claim" } });
     this->client.send(std::move(call), [this](const http::Reply& reply) {
-        this->claimUnderWay = false;
+        this->claimInFlight = false;
         const AppendStatus status = this->protocols.store.parseAppend(reply).status;
         const AppendOutcome outcome = status == AppendStatus::Appended ? AppendOutcome::Appended
             : status == AppendStatus::Elsewhere                        ? AppendOutcome::Elsewhere
@@ -62,7 +62,7 @@
     if (this->settings.peerAddress.empty())
         return;
     if (const auto error = attemptVoid([&] { return this->peerSocket.open(this->settings.peerAddress); }))
-        logEvent(events::watchImpossible, { { "address", this->settings.peerAddress }, { "why", error->message } });
+        logEvent(events::watchUnavailable, { { "address", this->settings.peerAddress }, { "why", error->message } });
 }
 
 void ControlLoop::receiveDatagrams(Millis now)
@@ -79,31 +79,31 @@
 {
     this->receiveDatagrams(now);
     const std::int64_t ownTerm = this->election.leads(now) ? this->election.term() : 0;
-    const bool asks = this->settings.processorShare >= enoughToPlan;
+    const bool canPlan = this->settings.processorCores >= minPlanningCores;
     for (const WatchMessage& message : this->plannerWatch.step(ownTerm, this->election.renewalFailed(), now)) {
-        if (ownTerm > 0 || asks)
+        if (ownTerm > 0 || canPlan)
             this->peerSocket.send(message.peer, message.text);
     }
-    if (ownTerm == 0 && this->plannerWatch.plannerGone(now))
+    if (ownTerm == 0 && this->plannerWatch.hasPlannerFailed(now))
         this->election.suspect(now);
 }
 
 // Where the holder of a claim takes datagrams: all instances use the same port.
-std::string ControlLoop::peerOf(const std::string& holder) const
+std::string ControlLoop::peerAddressOf(const std::string& holder) const
 {
-    const std::string& own = this->settings.peerAddress;
+    const std::string& ownPeerAddress = this->settings.peerAddress;
     const std::string address = addressOfHolder(holder);
-    if (own.empty() || address.empty() || address == this->settings.callerAddress)
+    if (ownPeerAddress.empty() || address.empty() || address == this->settings.callerAddress)
         return {};
-    return address.substr(0, address.rfind(':')) + own.substr(own.rfind(':'));
+    return address.substr(0, address.rfind(':')) + ownPeerAddress.substr(ownPeerAddress.rfind(':'));
 }
 
-void ControlLoop::lead(Millis now, Millis wall)
+void ControlLoop::stepLeadership(Millis now, Millis wall)
 {
-    const bool leads = this->election.leads(now);
-    if (this->leadership && (!leads || this->leadership->term() != this->election.term()))
+    const bool isLeader = this->election.leads(now);
+    if (this->leadership && (!isLeader || this->leadership->term() != this->election.term()))
         this->endTerm("the term was not renewed in time");
-    if (this->leadership && this->leadership->lost()) {
+    if (this->leadership && this->leadership->isLost()) {
         this->election.resign();
         this->endTerm("a later term is known to workers or the store");
     }
@@ -118,7 +118,7 @@
     }
     this->leadership->step(now, wall);
     this->client.useGroup(0);
-    if (this->leadership->wantsPlans())
+    if (this->leadership->needsPlans())
         this->plansReader.step(now);
 }
 
--- a/src/instance/forwarded_answer.cc
+++ b/src/instance/forwarded_answer.cc
@@ -4,32 +4,32 @@
 
 namespace {
 
-    bool wasDone(const CallerAnswer& answer) { return answer.outcome == Outcome::Accepted || answer.outcome == Outcome::Cancelled; }
+    bool isDone(const CallerAnswer& answer) { return answer.outcome == Outcome::Accepted || answer.outcome == Outcome::Cancelled; }
 
     // What either instance did, or may have done, stays true whatever else the two say.
     // Only of what neither did may one of them know better.
-    CallerAnswer reconcile(const CallerAnswer& own, const CallerAnswer& other, bool sentTwice)
+    CallerAnswer mergeAnswers(const CallerAnswer& ownAnswer, const CallerAnswer& peerAnswer, bool wasResent)
     {
-        if (wasDone(other))
-            return other;
-        if (own.outcome == Outcome::Unknown)
-            return other.outcome == Outcome::State && other.configurationVersion >= own.configurationVersion ? other : own;
+        if (isDone(peerAnswer))
+            return peerAnswer;
+        if (ownAnswer.outcome == Outcome::Unknown)
+            return peerAnswer.outcome == Outcome::State && peerAnswer.configurationVersion >= ownAnswer.configurationVersion ? peerAnswer : ownAnswer;
         // A rejection tells nothing of the transmission before it.
-        if (other.outcome == Outcome::Unknown || sentTwice)
-            return { .outcome = Outcome::Unknown, .message = other.message, .configurationVersion = other.configurationVersion };
+        if (peerAnswer.outcome == Outcome::Unknown || wasResent)
+            return { .outcome = Outcome::Unknown, .message = peerAnswer.message, .configurationVersion = peerAnswer.configurationVersion };
         // The other may be cut off as well and go by a text that is older than the one here.
-        if (other.configurationVersion < own.configurationVersion)
-            return own;
-        return other.outcome == Outcome::NotNow && own.outcome != Outcome::NotNow ? own : other;
+        if (peerAnswer.configurationVersion < ownAnswer.configurationVersion)
+            return ownAnswer;
+        return peerAnswer.outcome == Outcome::NotNow && ownAnswer.outcome != Outcome::NotNow ? ownAnswer : peerAnswer;
     }
 
 } // namespace
 
-CallerAnswer answerAfterRelay(RequestKind kind, const CallerAnswer& own, const std::optional<CallerAnswer>& other, const http::Reply& reply)
+CallerAnswer mergeForwardedAnswer(RequestKind kind, const CallerAnswer& ownAnswer, const std::optional<CallerAnswer>& peerAnswer, const http::Reply& reply)
 {
-    if (other)
-        return reconcile(own, *other, reply.isRepeat() && kind != RequestKind::State);
-    CallerAnswer answer = own;
+    if (peerAnswer)
+        return mergeAnswers(ownAnswer, *peerAnswer, reply.isRepeat() && kind != RequestKind::State);
+    CallerAnswer answer = ownAnswer;
     if (reply.sent != http::Sent::Nothing && kind != RequestKind::State)
         answer.outcome = Outcome::Unknown; // The other instance may have stored it.
     return answer;
--- a/src/instance/forwarded_answer.h
+++ b/src/instance/forwarded_answer.h
@@ -14,6 +14,6 @@
 
 namespace rattan::instance {
 
-CallerAnswer answerAfterRelay(RequestKind, const CallerAnswer& own, const std::optional<CallerAnswer>& other, const http::Reply&);
+CallerAnswer mergeForwardedAnswer(RequestKind, const CallerAnswer& ownAnswer, const std::optional<CallerAnswer>& peerAnswer, const http::Reply&);
 
 } // namespace rattan::instance
--- a/src/instance/forwarding_peers.cc
+++ b/src/instance/forwarding_peers.cc
@@ -4,34 +4,34 @@
 
 namespace rattan::instance {
 
-void RelayPeers::planned(const std::string& address)
+void ForwardingPeers::plannerSeen(const std::string& address)
 {
     if (address.empty() || (!this->peers.empty() && this->peers.front().address == address))
         return;
     std::erase_if(this->peers, [&](const Peer& peer) { return peer.address == address; });
     this->peers.push_front({ address });
-    if (this->peers.size() > mostPeers)
+    if (this->peers.size() > maxPeers)
         this->peers.pop_back();
 }
 
-std::optional<std::string> RelayPeers::choose(Millis now) const
+std::optional<std::string> ForwardingPeers::choose(Millis now) const
 {
     for (const Peer& peer : this->peers) {
-        if (peer.address != this->own && now >= peer.avoidedUntil)
+        if (peer.address != this->ownAddress && now >= peer.avoidedUntil)
             return peer.address;
     }
     return std::nullopt;
 }
 
-void RelayPeers::failed(const std::string& address, Millis now)
+void ForwardingPeers::markUnreachable(const std::string& address, Millis now)
 {
     for (Peer& peer : this->peers) {
         if (peer.address == address)
-            peer.avoidedUntil = now + failurePause;
+            peer.avoidedUntil = now + peerRetryDelay;
     }
 }
 
-void RelayPeers::answered(const std::string& address)
+void ForwardingPeers::markReachable(const std::string& address)
 {
     for (Peer& peer : this->peers) {
         if (peer.address == address)
--- a/src/instance/forwarding_peers.h
+++ b/src/instance/forwarding_peers.h
@@ -20,36 +20,36 @@
 
 namespace rattan::instance {
 
-class RelayPeers {
+class ForwardingPeers {
 public:
-    explicit RelayPeers(std::string own)
-        : own(std::move(own))
+    explicit ForwardingPeers(std::string ownAddress)
+        : ownAddress(std::move(ownAddress))
     {
     }
 
-    void planned(const std::string& address);
+    void plannerSeen(const std::string& address);
 
     // The instance that planned last, of those that can be reached; never this one.
     std::optional<std::string> choose(Millis now) const;
 
-    void failed(const std::string& address, Millis now);
-    void answered(const std::string& address);
+    void markUnreachable(const std::string& address, Millis now);
+    void markReachable(const std::string& address);
 
 private:
     // Planners change a few times an hour, so three say enough; with more, a request
     // would be offered to many dead ones in a row.
-    static constexpr std::size_t mostPeers = 3;
+    static constexpr std::size_t maxPeers = 3;
 
     // A peer out of reach is not asked again for this long: cuts last seconds, and each
     // try costs a caller the time of a connection attempt.
-    static constexpr Millis failurePause = 2000;
+    static constexpr Millis peerRetryDelay = 2000;
 
     struct Peer {
         std::string address;
         Millis avoidedUntil { 0 };
     };
 
-    const std::string own;
+    const std::string ownAddress;
     std::deque<Peer> peers; // The newest first.
 };
 
--- a/src/instance/gateway.cc
+++ b/src/instance/gateway.cc
@@ -16,11 +16,11 @@
 
     // Another instance may do at once what this one cannot; the platform sends a
     // retry there.
-    constexpr Millis retryElsewhere = 1000;
+    constexpr Millis retryDelay = 1000;
 
     // An append without an answer may be carried out for this long; what was appended by
     // then has been read, or was never stored.
-    constexpr Millis appendsLate = 15000;
+    constexpr Millis maxAppendDelay = 15000;
 
 } // namespace
 
@@ -32,143 +32,143 @@
 {
 }
 
-void Gateway::configurationRead(std::shared_ptr<const tasks::Catalog> newest)
+void Gateway::configurationUpdated(std::shared_ptr<const tasks::Catalog> newCatalog)
 {
-    if (this->hasConfiguration && newest->version < this->catalog->version)
+    if (this->hasConfiguration && newCatalog->version < this->catalog->version)
         return; // A version never goes back.
-    this->catalog = std::move(newest);
+    this->catalog = std::move(newCatalog);
     this->hasConfiguration = true;
 }
 
-bool Gateway::storeInReach(Millis now) const
+bool Gateway::isStoreReachable(Millis now) const
 {
-    return now - std::max(this->jobsConfirmedAt, this->configurationConfirmedAt) <= this->options.storeTrusted;
+    return now - std::max(this->jobsConfirmedAt, this->configurationConfirmedAt) <= this->options.maxStoreSilence;
 }
 
-bool Gateway::ready(Millis now) const
+bool Gateway::isReady(Millis now) const
 {
-    return this->hasConfiguration && this->jobsLoaded && now - this->configurationConfirmedAt < this->options.configurationTrusted;
+    return this->hasConfiguration && this->jobsLoaded && now - this->configurationConfirmedAt < this->options.maxConfigurationAge;
 }
 
-void Gateway::ask(std::uint64_t ticket, const CallerRequest& request, Millis now, Millis wall)
+void Gateway::handleRequest(std::uint64_t ticket, const CallerRequest& request, Millis now, Millis wall)
 {
-    Question question { .request = request, .job = request.path.substr(request.path.rfind('/') + 1), .askedAt = now };
-    const Millis patience = request.patience > 0 ? std::max<Millis>(request.patience - this->options.answerMargin, 0) : this->options.longestAnswer;
-    question.answerBy = now + std::min(patience, this->options.longestAnswer);
+    WaitingRequest waiting { .request = request, .jobId = request.path.substr(request.path.rfind('/') + 1), .receivedAt = now };
+    const Millis timeout = request.timeout > 0 ? std::max<Millis>(request.timeout - this->options.answerMargin, 0) : this->options.maxAnswerTime;
+    waiting.deadline = now + std::min(timeout, this->options.maxAnswerTime);
     if (!this->hasConfiguration || !this->jobsLoaded)
-        return this->refuse(ticket, question, "this instance has just started", now);
-    if (this->catalog->version < this->versionElsewhere)
-        return this->refuse(ticket, question, "a newer configuration is in force elsewhere", now);
+        return this->refuse(ticket, waiting, "this instance has just started", now);
+    if (this->catalog->version < this->minConfigurationVersion)
+        return this->refuse(ticket, waiting, "a newer configuration is in force elsewhere", now);
     // Cut off from the store, this instance may have missed the version that added a
     // queue or a key: its caller would be told that there is none, and give up.
-    const bool mayBeOutdated = !this->storeInReach(now);
+    const bool isPossiblyOutdated = !this->isStoreReachable(now);
     const tasks::Queue* queue = this->catalog->queueFor(request.host, request.path);
     if (!queue)
-        return this->answer(ticket, question, { .outcome = Outcome::NoSuchQueue, .wantsStore = mayBeOutdated }, now);
+        return this->answer(ticket, waiting, { .outcome = Outcome::NoSuchQueue, .givenWithoutStore = isPossiblyOutdated }, now);
     std::string workspace;
     if (!queue->open) {
         // A key that was taken away would go on working here for as long as this
         // instance does not hear of it.
-        if (now - this->configurationConfirmedAt > this->options.configurationTrusted)
-            return this->refuse(ticket, question, "the operators' configuration cannot be read at present", now);
-        const std::string* holder = this->catalog->workspaceFor(request.key);
-        if (!holder)
-            return this->answer(ticket, question, { .outcome = Outcome::UnknownKey, .wantsStore = mayBeOutdated }, now);
-        workspace = *holder;
-    } else if (const std::string* holder = this->catalog->workspaceFor(request.key)) {
-        workspace = *holder;
+        if (now - this->configurationConfirmedAt > this->options.maxConfigurationAge)
+            return this->refuse(ticket, waiting, "the operators' configuration cannot be read at present", now);
+        const std::string* keyWorkspace = this->catalog->workspaceFor(request.apiKey);
+        if (!keyWorkspace)
+            return this->answer(ticket, waiting, { .outcome = Outcome::UnknownKey, .givenWithoutStore = isPossiblyOutdated }, now);
+        workspace = *keyWorkspace;
+    } else if (const std::string* keyWorkspace = this->catalog->workspaceFor(request.apiKey)) {
+        workspace = *keyWorkspace;
     }
-    question.job = request.path.substr(queue->pathPrefix.size());
+    waiting.jobId = request.path.substr(queue->pathPrefix.size());
     // A count from long ago would be told as the present one.
-    if (question.job.empty() && request.kind == RequestKind::State && now - this->jobsConfirmedAt > this->options.countTrusted)
-        return this->refuse(ticket, question, "the store is out of reach", now);
-    if (question.job.empty() && request.kind == RequestKind::State)
-        return this->answer(ticket, question, { .outcome = Outcome::Pending, .pending = this->jobs.pending(queue->terms.queue) }, now);
-    if (!this->protocol.isJobId(question.job))
-        return this->answer(ticket, question, { .outcome = Outcome::Malformed, .message = "not the id of a job" }, now);
-    if (this->questions.size() >= this->options.mostWaiting)
-        return this->refuse(ticket, question, "too many requests wait", now);
+    if (waiting.jobId.empty() && request.kind == RequestKind::State && now - this->jobsConfirmedAt > this->options.maxPendingCountAge)
+        return this->refuse(ticket, waiting, "the store is out of reach", now);
+    if (waiting.jobId.empty() && request.kind == RequestKind::State)
+        return this->answer(ticket, waiting, { .outcome = Outcome::Pending, .pending = this->jobs.pending(queue->terms.queue) }, now);
+    if (!this->protocol.isJobId(waiting.jobId))
+        return this->answer(ticket, waiting, { .outcome = Outcome::Malformed, .message = "not the id of a job" }, now);
+    if (this->waitingRequests.size() >= this->options.maxWaitingRequests)
+        return this->refuse(ticket, waiting, "too many requests wait", now);
     switch (request.kind) {
     case RequestKind::Submit:
-        return this->submit(ticket, std::move(question), *queue, std::move(workspace), now, wall);
+        return this->submit(ticket, std::move(waiting), *queue, std::move(workspace), now, wall);
     case RequestKind::Cancel:
-        return this->cancel(ticket, std::move(question), now);
+        return this->cancel(ticket, std::move(waiting), now);
     case RequestKind::State:
-        return this->tellState(ticket, std::move(question), now);
+        return this->reportState(ticket, std::move(waiting), now);
     case RequestKind::Other:
-        return this->answer(ticket, question, { .outcome = Outcome::NoSuchMethod }, now);
+        return this->answer(ticket, waiting, { .outcome = Outcome::NoSuchMethod }, now);
     }
 }
 
-void Gateway::submit(std::uint64_t ticket, Question question, const tasks::Queue& queue, std::string workspace, Millis now, Millis wall)
+void Gateway::submit(std::uint64_t ticket, WaitingRequest waiting, const tasks::Queue& queue, std::string workspace, Millis now, Millis wall)
 {
-    question.record = tasks::keyText({ RecordKind::Job, question.job });
-    if (this->jobs.find(question.job) || this->stored.contains(question.record))
-        return this->answer(ticket, question, { .outcome = Outcome::Accepted }, now);
-    if (this->catalog->mostBodyBytes > 0 && static_cast<std::int64_t>(question.request.body.size()) > this->catalog->mostBodyBytes)
-        return this->answer(ticket, question, { .outcome = Outcome::TooLarge }, now);
-    Attempt<tasks::Job> job = attempt([&] { return this->protocol.parseJob(question.request.body); });
+    waiting.recordKey = tasks::keyText({ RecordKind::Job, waiting.jobId });
+    if (this->jobs.find(waiting.jobId) || this->storedRecords.contains(waiting.recordKey))
+        return this->answer(ticket, waiting, { .outcome = Outcome::Accepted }, now);
+    if (this->catalog->mostBodyBytes > 0 && static_cast<std::int64_t>(waiting.request.body.size()) > this->catalog->mostBodyBytes)
+        return this->answer(ticket, waiting, { .outcome = Outcome::TooLarge }, now);
+    Attempt<tasks::Job> job = attempt([&] { return this->protocol.parseJob(waiting.request.body); });
     if (!job.value)
-        return this->answer(ticket, question, { .outcome = Outcome::Malformed, .message = job.error.message }, now);
-    if (!this->storeInReach(now))
-        return this->refuse(ticket, question, "the store is out of reach", now);
-    if (this->uncertain.size() + this->stored.size() >= this->options.mostUnread)
-        return this->refuse(ticket, question, "too many records are yet to be read back", now);
-    job.value->id = question.job;
+        return this->answer(ticket, waiting, { .outcome = Outcome::Malformed, .message = job.error.message }, now);
+    if (!this->isStoreReachable(now))
+        return this->refuse(ticket, waiting, "the store is out of reach", now);
+    if (this->unresolvedRecords.size() + this->storedRecords.size() >= this->options.maxUnreadRecords)
+        return this->refuse(ticket, waiting, "too many records are yet to be read back", now);
+    job.value->id = waiting.jobId;
     job.value->workspace = std::move(workspace);
     job.value->terms = queue.terms;
     job.value->acceptedAt = wall;
-    this->queueRecord(ticket, std::move(question), tasks::encodeJob(*job.value));
+    this->queueRecord(ticket, std::move(waiting), tasks::encodeJob(*job.value));
 }
 
-void Gateway::cancel(std::uint64_t ticket, Question question, Millis now)
+void Gateway::cancel(std::uint64_t ticket, WaitingRequest waiting, Millis now)
 {
-    const JobEntry* entry = this->jobs.find(question.job);
+    const JobEntry* entry = this->jobs.find(waiting.jobId);
     if (!entry)
-        return this->tellState(ticket, std::move(question), now);
-    question.record = tasks::keyText({ RecordKind::Cancel, question.job });
-    if (entry->cancelled || isFinal(entry->shown()) || this->stored.contains(question.record))
-        return this->answer(ticket, question, { .outcome = Outcome::Cancelled }, now);
-    if (!this->storeInReach(now))
-        return this->refuse(ticket, question, "the store is out of reach", now);
-    this->queueRecord(ticket, std::move(question), tasks::encodeCancel());
+        return this->reportState(ticket, std::move(waiting), now);
+    waiting.recordKey = tasks::keyText({ RecordKind::Cancel, waiting.jobId });
+    if (entry->cancelled || isFinal(entry->shown()) || this->storedRecords.contains(waiting.recordKey))
+        return this->answer(ticket, waiting, { .outcome = Outcome::Cancelled }, now);
+    if (!this->isStoreReachable(now))
+        return this->refuse(ticket, waiting, "the store is out of reach", now);
+    this->queueRecord(ticket, std::move(waiting), tasks::encodeCancel());
 }
 
-void Gateway::tellState(std::uint64_t ticket, Question question, Millis now)
+void Gateway::reportState(std::uint64_t ticket, WaitingRequest waiting, Millis now)
 {
-    const JobEntry* entry = this->jobs.find(question.job);
-    if (entry && entry->shown() == JobState::Running && this->storeInReach(now)) {
-        question.awaits = Awaits::End;
-        question.answerBy = std::min(question.answerBy, now + this->options.endAwaited);
-        this->questions.emplace(ticket, std::move(question));
+    const JobEntry* entry = this->jobs.find(waiting.jobId);
+    if (entry && entry->shown() == JobState::Running && this->isStoreReachable(now)) {
+        waiting.awaited = AwaitedEvent::JobEnd;
+        waiting.deadline = std::min(waiting.deadline, now + this->options.jobEndWait);
+        this->waitingRequests.emplace(ticket, std::move(waiting));
         return;
     }
     if (entry)
-        return this->answer(ticket, question, { .outcome = Outcome::State, .state = entry->shown(), .wantsStore = !isFinal(entry->shown()) && !this->storeInReach(now) }, now);
-    if (!this->storeInReach(now))
-        return this->refuse(ticket, question, "the store is out of reach", now);
-    question.awaits = Awaits::Reading;
-    this->questions.emplace(ticket, std::move(question));
+        return this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->shown(), .givenWithoutStore = !isFinal(entry->shown()) && !this->isStoreReachable(now) }, now);
+    if (!this->isStoreReachable(now))
+        return this->refuse(ticket, waiting, "the store is out of reach", now);
+    waiting.awaited = AwaitedEvent::JobsConfirmed;
+    this->waitingRequests.emplace(ticket, std::move(waiting));
 }
 
-void Gateway::queueRecord(std::uint64_t ticket, Question question, std::string value)
+void Gateway::queueRecord(std::uint64_t ticket, WaitingRequest waiting, std::string value)
 {
-    question.awaits = Awaits::Record;
-    const std::string key = question.record;
-    this->questions.emplace(ticket, std::move(question));
-    const auto same = [&](const StoreRecord& record) { return record.key == key; };
-    if (this->underWay.contains(key) || std::any_of(this->records.begin(), this->records.end(), same))
+    waiting.awaited = AwaitedEvent::RecordStored;
+    const std::string key = waiting.recordKey;
+    this->waitingRequests.emplace(ticket, std::move(waiting));
+    const auto hasSameKey = [&](const StoreRecord& record) { return record.key == key; };
+    if (this->inFlightRecords.contains(key) || std::any_of(this->records.begin(), this->records.end(), hasSameKey))
         return; // A repeat while the first is under way.
     this->records.push_back({ key, std::move(value), 0 });
 }
 
-std::vector<StoreRecord> Gateway::takeRecords(std::size_t mostRecords, std::size_t mostBytes)
+std::vector<StoreRecord> Gateway::takeRecords(std::size_t maxRecords, std::size_t maxBytes)
 {
     std::size_t bytes = 0;
     std::size_t count = 0;
-    while (count < this->records.size() && count < mostRecords) {
+    while (count < this->records.size() && count < maxRecords) {
         bytes += this->records[count].key.size() + this->records[count].value.size();
-        if (count > 0 && bytes > mostBytes)
+        if (count > 0 && bytes > maxBytes)
             break;
         ++count;
     }
@@ -176,153 +176,153 @@
     std::vector<StoreRecord> taken(std::make_move_iterator(this->records.begin()), std::make_move_iterator(end));
     this->records.erase(this->records.begin(), end);
     for (const StoreRecord& record : taken)
-        ++this->underWay[record.key];
+        ++this->inFlightRecords[record.key];
     return taken;
 }
 
-void Gateway::appended(const std::vector<std::string>& keys, AppendStatus status, Millis now)
+void Gateway::appendCompleted(const std::vector<std::string>& keys, AppendStatus status, Millis now)
 {
     for (const std::string& key : keys) {
-        if (const auto found = this->underWay.find(key); found != this->underWay.end() && --found->second <= 0)
-            this->underWay.erase(found);
+        if (const auto found = this->inFlightRecords.find(key); found != this->inFlightRecords.end() && --found->second <= 0)
+            this->inFlightRecords.erase(found);
         if (status == AppendStatus::Unknown)
-            this->uncertain[key] = now;
+            this->unresolvedRecords[key] = now;
         if (status == AppendStatus::Appended)
-            this->stored[key] = now;
+            this->storedRecords[key] = now;
     }
-    const auto isMeant = [&](const Question& question) { return question.awaits == Awaits::Record && std::find(keys.begin(), keys.end(), question.record) != keys.end(); };
-    for (const auto& [ticket, question] : this->take(isMeant)) {
+    const auto matches = [&](const WaitingRequest& waiting) { return waiting.awaited == AwaitedEvent::RecordStored && std::find(keys.begin(), keys.end(), waiting.recordKey) != keys.end(); };
+    for (const auto& [ticket, waiting] : this->takeWaiting(matches)) {
         if (status == AppendStatus::Appended)
-            this->answer(ticket, question, { .outcome = question.request.kind == RequestKind::Submit ? Outcome::Accepted : Outcome::Cancelled }, now);
+            this->answer(ticket, waiting, { .outcome = waiting.request.kind == RequestKind::Submit ? Outcome::Accepted : Outcome::Cancelled }, now);
         else
-            this->refuse(ticket, question, "the store took no record", now);
+            this->refuse(ticket, waiting, "the store took no record", now);
     }
 }
 
 // All of them at once: a rejection depends on who still waits.
-std::vector<std::pair<std::uint64_t, Gateway::Question>> Gateway::take(const std::function<bool(const Question&)>& isMeant)
+std::vector<std::pair<std::uint64_t, Gateway::WaitingRequest>> Gateway::takeWaiting(const std::function<bool(const WaitingRequest&)>& matches)
 {
-    std::vector<std::pair<std::uint64_t, Question>> taken;
-    for (auto next = this->questions.begin(); next != this->questions.end();) {
+    std::vector<std::pair<std::uint64_t, WaitingRequest>> taken;
+    for (auto next = this->waitingRequests.begin(); next != this->waitingRequests.end();) {
         const auto current = next++;
-        if (!isMeant(current->second))
+        if (!matches(current->second))
             continue;
         taken.emplace_back(current->first, std::move(current->second));
-        this->questions.erase(current);
+        this->waitingRequests.erase(current);
     }
     return taken;
 }
 
 // Whether what is known of a job now answers a question about it.
-bool Gateway::knowsEnough(const Question& question, const JobEntry& entry) const
+bool Gateway::canAnswer(const WaitingRequest& waiting, const JobEntry& entry) const
 {
-    if (question.awaits == Awaits::End)
+    if (waiting.awaited == AwaitedEvent::JobEnd)
         return isFinal(entry.shown());
-    if (question.request.kind == RequestKind::Cancel)
+    if (waiting.request.kind == RequestKind::Cancel)
         return entry.cancelled || isFinal(entry.shown());
-    return question.request.kind != RequestKind::Other;
+    return waiting.request.kind != RequestKind::Other;
 }
 
 void Gateway::jobChanged(const std::string& id, Millis now)
 {
-    for (auto next = this->questions.begin(); next != this->questions.end();) {
+    for (auto next = this->waitingRequests.begin(); next != this->waitingRequests.end();) {
         const auto current = next++;
-        if (current->second.job != id)
+        if (current->second.jobId != id)
             continue;
         const JobEntry* entry = this->jobs.find(id);
         if (!entry)
             continue;
-        const Question copy = current->second;
+        const WaitingRequest waiting = current->second;
         const std::uint64_t ticket = current->first;
-        const RequestKind kind = copy.request.kind;
-        if (!this->knowsEnough(copy, *entry))
+        const RequestKind kind = waiting.request.kind;
+        if (!this->canAnswer(waiting, *entry))
             continue;
-        this->questions.erase(current);
+        this->waitingRequests.erase(current);
         if (kind == RequestKind::State)
-            this->answer(ticket, copy, { .outcome = Outcome::State, .state = entry->shown() }, now);
+            this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->shown() }, now);
         else
-            this->answer(ticket, copy, { .outcome = kind == RequestKind::Submit ? Outcome::Accepted : Outcome::Cancelled }, now);
+            this->answer(ticket, waiting, { .outcome = kind == RequestKind::Submit ? Outcome::Accepted : Outcome::Cancelled }, now);
     }
 }
 
-void Gateway::jobsRead(Millis confirmedAt, Millis now)
+void Gateway::jobsConfirmed(Millis confirmedAt, Millis now)
 {
     this->jobsLoaded = true;
     this->jobsConfirmedAt = std::max(this->jobsConfirmedAt, confirmedAt);
-    for (auto next = this->questions.begin(); next != this->questions.end();) {
+    for (auto next = this->waitingRequests.begin(); next != this->waitingRequests.end();) {
         const auto current = next++;
-        if (current->second.awaits != Awaits::Reading || current->second.askedAt > confirmedAt)
+        if (current->second.awaited != AwaitedEvent::JobsConfirmed || current->second.receivedAt > confirmedAt)
             continue;
-        const Question copy = current->second;
+        const WaitingRequest waiting = current->second;
         const std::uint64_t ticket = current->first;
-        this->questions.erase(current);
-        const JobEntry* entry = this->jobs.find(copy.job);
-        if (copy.request.kind == RequestKind::Cancel && this->mayCome(copy.job))
-            this->answer(ticket, copy, { .outcome = Outcome::Unknown, .message = "the job may be stored yet", .wantsStore = true }, now);
+        this->waitingRequests.erase(current);
+        const JobEntry* entry = this->jobs.find(waiting.jobId);
+        if (waiting.request.kind == RequestKind::Cancel && this->isJobPossiblyStored(waiting.jobId))
+            this->answer(ticket, waiting, { .outcome = Outcome::Unknown, .message = "the job may be stored yet", .givenWithoutStore = true }, now);
         else if (!entry)
-            this->answer(ticket, copy, { .outcome = Outcome::NoSuchJob }, now);
-        else if (copy.request.kind == RequestKind::Cancel)
-            this->cancel(ticket, copy, now);
+            this->answer(ticket, waiting, { .outcome = Outcome::NoSuchJob }, now);
+        else if (waiting.request.kind == RequestKind::Cancel)
+            this->cancel(ticket, waiting, now);
         else
-            this->answer(ticket, copy, { .outcome = Outcome::State, .state = entry->shown() }, now);
+            this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->shown() }, now);
     }
 }
 
-bool Gateway::wantsRead() const
+bool Gateway::needsJobsRead() const
 {
-    return std::any_of(this->questions.begin(), this->questions.end(), [](const auto& row) { return row.second.awaits == Awaits::Reading; });
+    return std::any_of(this->waitingRequests.begin(), this->waitingRequests.end(), [](const auto& item) { return item.second.awaited == AwaitedEvent::JobsConfirmed; });
 }
 
-bool Gateway::awaitsEnd() const
+bool Gateway::isAwaitingJobEnd() const
 {
-    return std::any_of(this->questions.begin(), this->questions.end(), [](const auto& row) { return row.second.awaits == Awaits::End; });
+    return std::any_of(this->waitingRequests.begin(), this->waitingRequests.end(), [](const auto& item) { return item.second.awaited == AwaitedEvent::JobEnd; });
 }
 
 void Gateway::step(Millis now)
 {
-    for (const auto& [ticket, question] : this->take([&](const Question& row) { return now >= std::min(row.answerBy, this->lastAnswerAt); })) {
-        const JobEntry* entry = question.awaits == Awaits::End ? this->jobs.find(question.job) : nullptr;
+    for (const auto& [ticket, waiting] : this->takeWaiting([&](const WaitingRequest& candidate) { return now >= std::min(candidate.deadline, this->answerDeadline); })) {
+        const JobEntry* entry = waiting.awaited == AwaitedEvent::JobEnd ? this->jobs.find(waiting.jobId) : nullptr;
         if (entry)
-            this->answer(ticket, question, { .outcome = Outcome::State, .state = entry->shown() }, now);
+            this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->shown() }, now);
         else
-            this->refuse(ticket, question, "no answer from the store in time", now);
+            this->refuse(ticket, waiting, "no answer from the store in time", now);
     }
-    std::erase_if(this->uncertain, [&](const auto& row) { return this->jobsConfirmedAt - row.second > appendsLate; });
-    std::erase_if(this->stored, [&](const auto& row) { return this->jobsConfirmedAt > row.second; });
+    std::erase_if(this->unresolvedRecords, [&](const auto& item) { return this->jobsConfirmedAt - item.second > maxAppendDelay; });
+    std::erase_if(this->storedRecords, [&](const auto& item) { return this->jobsConfirmedAt > item.second; });
     // A record whose questions have all been answered must not be appended later.
     std::erase_if(this->records, [&](const StoreRecord& record) {
-        return std::none_of(this->questions.begin(), this->questions.end(), [&](const auto& row) { return row.second.record == record.key; });
+        return std::none_of(this->waitingRequests.begin(), this->waitingRequests.end(), [&](const auto& item) { return item.second.recordKey == record.key; });
     });
 }
 
 // It was stored, its append is under way or may be carried out late, or it waits for its turn.
-bool Gateway::mayBeStored(const std::string& record) const
+bool Gateway::isPossiblyStored(const std::string& recordKey) const
 {
-    return this->stored.contains(record) || this->underWay.contains(record) || this->uncertain.contains(record)
-        || std::any_of(this->questions.begin(), this->questions.end(), [&](const auto& row) { return row.second.record == record; });
+    return this->storedRecords.contains(recordKey) || this->inFlightRecords.contains(recordKey) || this->unresolvedRecords.contains(recordKey)
+        || std::any_of(this->waitingRequests.begin(), this->waitingRequests.end(), [&](const auto& item) { return item.second.recordKey == recordKey; });
 }
 
 // Whoever cancels it must not hear that there is no such job, here or from another instance.
-bool Gateway::mayCome(const std::string& job) const
+bool Gateway::isJobPossiblyStored(const std::string& jobId) const
 {
-    return !this->jobs.find(job) && this->mayBeStored(tasks::keyText({ RecordKind::Job, job }));
+    return !this->jobs.find(jobId) && this->isPossiblyStored(tasks::keyText({ RecordKind::Job, jobId }));
 }
 
 // "Not now" says that nothing was done and nothing will be. While a record of
 // the job may be stored, that could turn out false: the caller is told that the
 // outcome is not known, and asks again.
-void Gateway::refuse(std::uint64_t ticket, const Question& question, std::string why, Millis now)
+void Gateway::refuse(std::uint64_t ticket, const WaitingRequest& waiting, std::string why, Millis now)
 {
-    const RequestKind kind = question.request.kind;
-    const JobEntry* entry = this->jobs.find(question.job);
-    const bool perhaps = (kind == RequestKind::Submit && (entry || this->mayBeStored(tasks::keyText({ RecordKind::Job, question.job }))))
-        || (kind == RequestKind::Cancel && ((entry && entry->cancelled) || this->mayCome(question.job) || this->mayBeStored(tasks::keyText({ RecordKind::Cancel, question.job }))));
-    this->answer(ticket, question, { .outcome = perhaps ? Outcome::Unknown : Outcome::NotNow, .retryAfter = retryElsewhere, .message = std::move(why), .wantsStore = true }, now);
+    const RequestKind kind = waiting.request.kind;
+    const JobEntry* entry = this->jobs.find(waiting.jobId);
+    const bool isPossiblyDone = (kind == RequestKind::Submit && (entry || this->isPossiblyStored(tasks::keyText({ RecordKind::Job, waiting.jobId }))))
+        || (kind == RequestKind::Cancel && ((entry && entry->cancelled) || this->isJobPossiblyStored(waiting.jobId) || this->isPossiblyStored(tasks::keyText({ RecordKind::Cancel, waiting.jobId }))));
+    this->answer(ticket, waiting, { .outcome = isPossiblyDone ? Outcome::Unknown : Outcome::NotNow, .retryAfter = retryDelay, .message = std::move(why), .givenWithoutStore = true }, now);
 }
 
-void Gateway::answer(std::uint64_t ticket, const Question& question, CallerAnswer answer, Millis now)
+void Gateway::answer(std::uint64_t ticket, const WaitingRequest& waiting, CallerAnswer answer, Millis now)
 {
-    this->answers.push_back({ ticket, std::move(answer), question.job, now - question.askedAt });
+    this->answers.push_back({ ticket, std::move(answer), waiting.jobId, now - waiting.receivedAt });
 }
 
 std::vector<GatewayAnswer> Gateway::takeAnswers() { return std::exchange(this->answers, {}); }
--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -19,45 +19,45 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds adviceTimeout { 700 }; // Beyond what the service takes for the question.
+    constexpr std::chrono::milliseconds adviceTimeoutMargin { 700 }; // Beyond what the service takes for the question.
 
     constexpr std::chrono::milliseconds connectTimeout { 500 };
 
     // Starts of urgent work are due within little more than a second.
-    constexpr Millis slowOrder = 300;
-    constexpr Millis slowRecord = 200;
-    constexpr Millis slowRound = 50;
+    constexpr Millis slowOrderThreshold = 300;
+    constexpr Millis slowBatchThreshold = 200;
+    constexpr Millis slowRoundThreshold = 50;
 
-    constexpr int turnRest = 2; // Times a turn's length: turns take a third of the processor time at most.
+    constexpr int planPauseFactor = 2; // Times a turn's length: turns take a third of the processor time at most.
 
-    constexpr Millis adviceQueue = 5; // Questions that may be before one, and itself.
+    constexpr Millis maxQueuedAdvice = 5; // Questions that may be before one, and itself.
 
     // Jobs that are over are told of for twice as long as callers were promised,
     // since an instance counts from when it first heard of the end.
-    constexpr Millis statusSpare = 2;
-    constexpr Millis forgetEvery = 5000;
-    constexpr std::size_t mostForgotten = 100; // 20 a second; 11,000 jobs a day are one in eight seconds.
+    constexpr Millis statusRetentionFactor = 2;
+    constexpr Millis forgetInterval = 5000;
+    constexpr std::size_t maxForgottenJobs = 100; // 20 a second; 11,000 jobs a day are one in eight seconds.
 
     // The list changes with every heartbeat of every worker, so reading on at once
     // would cost a call for each. Twice a second keeps what is seen of a worker
     // that leaves well under the time within which it must get nothing new.
-    constexpr Millis listPause = 400;
+    constexpr Millis workerListInterval = 400;
 
-    std::vector<StoreRecord> storeRecords(const tasks::RecordBatch::Records& records)
+    std::vector<StoreRecord> toStoreRecords(const tasks::RecordBatch::Records& records)
     {
-        std::vector<StoreRecord> made;
-        made.reserve(records.size());
+        std::vector<StoreRecord> result;
+        result.reserve(records.size());
         for (const auto& [key, value] : records)
-            made.push_back({ key, value, 0 });
-        return made;
+            result.push_back({ key, value, 0 });
+        return result;
     }
 
-    StreamReaderOptions listOptions(const InstanceSettings& settings)
+    StreamReaderOptions workerListOptions(const InstanceSettings& settings)
     {
-        return { .stream = Stream::Workers, .address = settings.storeAddress, .wait = 0, .pause = listPause, .timeout = 900 };
+        return { .stream = Stream::Workers, .address = settings.storeAddress, .wait = 0, .readInterval = workerListInterval, .timeout = 900 };
     }
 
-    std::string runText(const RunRef& run)
+    std::string formatRun(const RunRef& run)
     {
         return fmt::format("{}.{}.{}.{}/{}", run.task.job, run.task.occurrence, run.task.step, run.task.index, run.run);
     }
@@ -72,24 +72,24 @@
 } // namespace
 
 Leadership::Leadership(std::int64_t term, TermServices services, const tasks::JobTable& jobs, const tasks::PlanTable& plans)
-    : number(term)
+    : termNumber(term)
     , services(services)
     , jobs(jobs)
     , catalog(std::make_shared<tasks::Catalog>())
-    , direct(services.client, services.workers, static_cast<int>(term), [this] { return this->stillLeads(); })
-    , channel(term, services.roster, this->direct, services.port, services.clock)
-    , workerList(services.client, services.store, services.clock, listOptions(services.settings), *this)
-    , jobsStream(Stream::Jobs, term, services.client, services.store, services.clock, services.settings.storeAddress, services.metrics)
-    , plansStream(Stream::Plans, term, services.client, services.store, services.clock, services.settings.storeAddress, services.metrics)
+    , directChannel(services.client, services.workers, static_cast<int>(term), [this] { return this->confirmLeadership(); })
+    , channel(term, services.roster, this->directChannel, services.port, services.clock)
+    , workerList(services.client, services.store, services.clock, workerListOptions(services.settings), *this)
+    , jobsAppender(Stream::Jobs, term, services.client, services.store, services.clock, services.settings.storeAddress, services.metrics)
+    , plansAppender(Stream::Plans, term, services.client, services.store, services.clock, services.settings.storeAddress, services.metrics)
     , plans(plans)
 {
 }
 
-Leadership::~Leadership() { this->services.client.abandon(static_cast<int>(this->number)); }
+Leadership::~Leadership() { this->services.client.abandon(static_cast<int>(this->termNumber)); }
 
-void Leadership::applyCatalog(std::shared_ptr<const tasks::Catalog> newest)
+void Leadership::applyCatalog(std::shared_ptr<const tasks::Catalog> newCatalog)
 {
-    this->catalog = std::move(newest);
+    this->catalog = std::move(newCatalog);
     if (this->planner)
         this->planner->applyCatalog(this->catalog);
 }
@@ -109,153 +109,153 @@
 
 void Leadership::jobsConfirmed(Millis at, Millis now, Millis wall)
 {
-    if (this->jobsKnown || this->jobsStream.fencedAt() == 0 || at < this->jobsStream.fencedAt())
+    if (this->jobsLoaded || this->jobsAppender.fencedAt() == 0 || at < this->jobsAppender.fencedAt())
         return;
-    this->jobsKnown = true;
+    this->jobsLoaded = true;
     this->beginPlanning(now, wall);
 }
 
 void Leadership::plansConfirmed(Millis at, Millis now, Millis wall)
 {
-    if (!this->wantsPlans() || at < this->plansStream.fencedAt())
+    if (!this->needsPlans() || at < this->plansAppender.fencedAt())
         return;
-    this->plansKnown = true;
+    this->plansLoaded = true;
     this->beginPlanning(now, wall);
 }
 
 void Leadership::beginPlanning(Millis now, Millis wall)
 {
-    if (this->planner || !this->jobsKnown || !this->plansKnown)
+    if (this->planner || !this->jobsLoaded || !this->plansLoaded)
         return;
     tasks::PlannerOptions options;
-    options.longestLease = this->services.settings.longestLease;
+    options.longestLease = this->services.settings.maxLease;
     options.stopTimeout = this->services.settings.stopTimeout;
     options.advised = !this->services.settings.adviceAddress.empty();
     this->planner = std::make_unique<tasks::TaskPlanner>(options, this->jobs, this->plans, now, wall);
     this->planner->applyCatalog(this->catalog);
-    this->listChanged = true;
-    logEvent(events::leading, { { "term", this->number }, { "jobs", this->jobs.all().size() }, { "plans", this->plans.all().size() }, { "runs", this->planner->runs() } });
+    this->workerListChanged = true;
+    logEvent(events::leadTaken, { { "term", this->termNumber }, { "jobs", this->jobs.all().size() }, { "plans", this->plans.all().size() }, { "runs", this->planner->runs() } });
     if (this->plans.unreadable() > 0)
         logEvent(events::recordUnreadable, { { "stream", "plans" }, { "records", this->plans.unreadable() } });
 }
 
 void Leadership::step(Millis now, Millis wall)
 {
-    this->jobsStream.step(now);
-    this->plansStream.step(now);
+    this->jobsAppender.step(now);
+    this->plansAppender.step(now);
     this->workerList.step(now);
     if (!this->planner || !this->workerList.loaded())
         return;
-    if (this->listChanged)
-        this->tellWorkers(now);
-    this->stepRecords(now);
-    if (now >= this->nextTurn)
-        this->plan(now, wall);
-    else if (now >= this->nextPolls && this->planner->hasPollsLeft())
-        this->sendPollsLeft(now);
-    this->jobsStream.step(now);
-    this->plansStream.step(now);
-    if (this->stillLeads())
+    if (this->workerListChanged)
+        this->updateWorkers(now);
+    this->checkBatch(now);
+    if (now >= this->nextPlanAt)
+        this->runPlanner(now, wall);
+    else if (now >= this->nextPollsAt && this->planner->hasPollsLeft())
+        this->sendRemainingPolls(now);
+    this->jobsAppender.step(now);
+    this->plansAppender.step(now);
+    if (this->confirmLeadership())
         this->channel.step(this->services.clock.now());
 }
 
 // Each turn looks at every worker. Beside a thousand of them, and with answers that arrive
 // all the time, turns would take all of the processor; answers share one instead.
-void Leadership::plan(Millis now, Millis wall)
+void Leadership::runPlanner(Millis now, Millis wall)
 {
-    this->forgetOldJobs(now);
+    this->forgetExpiredJobs(now);
     this->planner->step(now, wall);
     // On a weak machine rounds must not keep the term from being renewed.
-    const Millis took = this->services.clock.now() - now;
-    this->planner->stepTook(took, this->services.clock.now());
-    if (took >= slowRound)
-        this->logRound(took);
-    this->carryOut(this->planner->take(now), now);
-    const Millis ended = this->services.clock.now();
-    this->nextTurn = ended + (ended - now) * turnRest;
+    const Millis duration = this->services.clock.now() - now;
+    this->planner->stepTook(duration, this->services.clock.now());
+    if (duration >= slowRoundThreshold)
+        this->logSlowRound(duration);
+    this->executeOrders(this->planner->take(now), now);
+    const Millis finishedAt = this->services.clock.now();
+    this->nextPlanAt = finishedAt + (finishedAt - now) * planPauseFactor;
 }
 
-void Leadership::sendPollsLeft(Millis now)
+void Leadership::sendRemainingPolls(Millis now)
 {
     for (const tasks::PollOrder& order : this->planner->takePolls(now).polls)
         this->sendPoll(order, now);
-    const Millis ended = this->services.clock.now();
-    this->nextPolls = ended + std::max<Millis>(ended - now, 1);
+    const Millis finishedAt = this->services.clock.now();
+    this->nextPollsAt = finishedAt + std::max<Millis>(finishedAt - now, 1);
 }
 
-void Leadership::stepRecords(Millis now)
+void Leadership::checkBatch(Millis now)
 {
-    if (this->batchUnderWay == 0 || !this->jobsStream.isIdle() || !this->plansStream.isIdle())
+    if (this->batchInFlight == 0 || !this->jobsAppender.isIdle() || !this->plansAppender.isIdle())
         return;
-    if (now - this->batchSentAt >= slowRecord)
-        logEvent(events::recordSlow, { { "batch", this->batchUnderWay }, { "took_ms", now - this->batchSentAt }, { "term", this->number } });
-    this->planner->recorded(std::exchange(this->batchUnderWay, 0), now);
+    if (now - this->batchSentAt >= slowBatchThreshold)
+        logEvent(events::recordSlow, { { "batch", this->batchInFlight }, { "took_ms", now - this->batchSentAt }, { "term", this->termNumber } });
+    this->planner->recorded(std::exchange(this->batchInFlight, 0), now);
 }
 
 void Leadership::append(const tasks::RecordBatch& batch)
 {
-    this->batchUnderWay = batch.number;
+    this->batchInFlight = batch.number;
     this->batchSentAt = this->services.clock.now();
-    this->jobsStream.append(storeRecords(batch.jobs));
-    this->plansStream.append(storeRecords(batch.plans));
+    this->jobsAppender.append(toStoreRecords(batch.jobs));
+    this->plansAppender.append(toStoreRecords(batch.plans));
 }
 
-void Leadership::tellWorkers(Millis now)
+void Leadership::updateWorkers(Millis now)
 {
-    this->listChanged = false;
-    std::vector<tasks::WorkerSighting> seen;
+    this->workerListChanged = false;
+    std::vector<tasks::WorkerSighting> currentSightings;
     std::vector<delivery::WorkerPlace> places;
     for (const auto& [id, sighting] : this->sightings) {
-        seen.push_back(sighting);
+        currentSightings.push_back(sighting);
         places.push_back({ id, sighting.domain });
     }
-    this->planner->workersSeen(seen, now);
+    this->planner->workersSeen(currentSightings, now);
     this->services.roster.setWorkers(std::move(places));
 }
 
 // The machine may have stood still since an order was decided. Sent now, it could reach a
 // worker after the orders of a planner that took over.
-bool Leadership::stillLeads()
+bool Leadership::confirmLeadership()
 {
     if (!this->services.election.leads(this->services.clock.now()))
-        this->isLost = true;
-    return !this->isLost;
+        this->termLost = true;
+    return !this->termLost;
 }
 
 void Leadership::peerLost(const delivery::PeerLost& peer, Millis now)
 {
-    if (peer.term != this->number)
+    if (peer.term != this->termNumber)
         return;
     logEvent(events::relayLost, { { "peer", peer.peer }, { "term", peer.term }, { "why", peer.why } });
     this->channel.lost(peer, now);
 }
 
 // A few at a time, so that the records of a busy hour do not go out in one append.
-void Leadership::forgetOldJobs(Millis now)
+void Leadership::forgetExpiredJobs(Millis now)
 {
-    if (now < this->forgetAt)
+    if (now < this->nextForgetAt)
         return;
-    this->forgetAt = now + forgetEvery;
-    std::vector<std::string> old;
+    this->nextForgetAt = now + forgetInterval;
+    std::vector<std::string> expired;
     for (const auto& [id, entry] : this->jobs.all()) {
-        const bool over = entry.job && entry.finalSince > 0 && now - entry.finalSince > this->services.settings.statusKept * statusSpare;
-        if (over && old.size() < mostForgotten)
-            old.push_back(id);
+        const bool isExpired = entry.job && entry.finalSince > 0 && now - entry.finalSince > this->services.settings.statusRetention * statusRetentionFactor;
+        if (isExpired && expired.size() < maxForgottenJobs)
+            expired.push_back(id);
     }
-    this->planner->forget(old);
+    this->planner->forget(expired);
 }
 
 Millis Leadership::nextWake(Millis now, Millis wall) const
 {
     if (!this->planner)
-        return now + listPause;
-    Millis nextPlan = std::max(this->planner->nextWake(now, wall), this->nextTurn);
+        return now + workerListInterval;
+    Millis wakeAt = std::max(this->planner->nextWake(now, wall), this->nextPlanAt);
     if (this->planner->hasPollsLeft())
-        nextPlan = std::min(nextPlan, std::max(now, this->nextPolls));
-    return std::min({ nextPlan, this->channel.nextWake(), now + listPause });
+        wakeAt = std::min(wakeAt, std::max(now, this->nextPollsAt));
+    return std::min({ wakeAt, this->channel.nextWake(), now + workerListInterval });
 }
 
-void Leadership::carryOut(Orders orders, Millis now)
+void Leadership::executeOrders(Orders orders, Millis now)
 {
     for (const tasks::PlanEvent& event : orders.events)
         this->logPlanEvent(event);
@@ -279,14 +279,14 @@
     call.purpose = "advice";
     call.address = this->services.settings.adviceAddress;
     const Millis expected = order.terms.each + order.terms.perWorker * static_cast<Millis>(order.workers.size());
-    call.timeout = std::chrono::milliseconds(expected * adviceQueue) + adviceTimeout;
+    call.timeout = std::chrono::milliseconds(expected * maxQueuedAdvice) + adviceTimeoutMargin;
     call.connectTimeout = connectTimeout;
     this->services.client.send(std::move(call), [this, order](const http::Reply& reply) {
-        const auto allowed = this->services.workers.parseAdvice(reply);
+        const auto allowedWorkers = this->services.workers.parseAdvice(reply);
         const Millis now = this->services.clock.now();
-        this->services.metrics.count("rattan_orders_total", { { "order", "advice" }, { "outcome", allowed ? "answered" : "no_answer" } });
-        if (allowed)
-            return this->planner->adviceAnswered(order.step, *allowed, now);
+        this->services.metrics.count("rattan_orders_total", { { "order", "advice" }, { "outcome", allowedWorkers ? "answered" : "no_answer" } });
+        if (allowedWorkers)
+            return this->planner->adviceAnswered(order.step, *allowedWorkers, now);
         logEvent(events::orderRefused, { { "order", "advice" }, { "job", order.step.job }, { "step", order.step.step }, { "workers", order.workers.size() }, { "status", reply.status } });
         this->planner->adviceFailed(order.step, now);
     });
@@ -297,19 +297,19 @@
 // over, and start the task a second time while it still runs.
 void Leadership::sendStart(const tasks::StartOrder& order)
 {
-    const Millis leaseEnd = this->clocks.show(order.worker, order.decidedAt).value_or(0) + this->services.settings.longestLease;
+    const Millis leaseEnd = this->workerClocks.estimate(order.worker, order.decidedAt).value_or(0) + this->services.settings.maxLease;
     const Millis sentAt = this->services.clock.now();
-    this->channel.send({ order, this->number, leaseEnd }, [this, order, sentAt](const WorkerAnswer& answer) {
+    this->channel.send({ order, this->termNumber, leaseEnd }, [this, order, sentAt](const WorkerAnswer& answer) {
         const auto& reply = std::get<StartReply>(answer.reply);
         const Millis now = this->services.clock.now();
-        this->observeOrder("start", sentAt, now);
+        this->observeOrderTime("start", sentAt, now);
         if (reply.clock)
-            this->clocks.heard(order.worker, *reply.clock, now);
+            this->workerClocks.update(order.worker, *reply.clock, now);
         this->services.metrics.count("rattan_orders_total", { { "order", "start" }, { "outcome", std::string(tasks::nameOf(reply.answer)) } });
-        if (now - order.decidedAt >= slowOrder)
-            logEvent(events::orderSlow, { { "order", "start" }, { "run", runText(order.run) }, { "worker", order.worker.id }, { "since_decided_ms", now - order.decidedAt }, { "since_sent_ms", now - sentAt } });
+        if (now - order.decidedAt >= slowOrderThreshold)
+            logEvent(events::orderSlow, { { "order", "start" }, { "run", formatRun(order.run) }, { "worker", order.worker.id }, { "since_decided_ms", now - order.decidedAt }, { "since_sent_ms", now - sentAt } });
         if (reply.answer != StartAnswer::Started)
-            logEvent(events::orderRefused, { { "order", "start" }, { "run", runText(order.run) }, { "worker", order.worker.id }, { "answer", tasks::nameOf(reply.answer) }, { "status", answer.status } });
+            logEvent(events::orderRefused, { { "order", "start" }, { "run", formatRun(order.run) }, { "worker", order.worker.id }, { "answer", tasks::nameOf(reply.answer) }, { "status", answer.status } });
         this->planner->startAnswered(order.worker, order.run, reply.answer, now);
     });
 }
@@ -317,22 +317,22 @@
 void Leadership::sendStop(const tasks::StopOrder& order)
 {
     const Millis sentAt = this->services.clock.now();
-    this->channel.send({ order, this->number, std::nullopt }, [this, order, sentAt](const WorkerAnswer& answer) {
+    this->channel.send({ order, this->termNumber, std::nullopt }, [this, order, sentAt](const WorkerAnswer& answer) {
         const auto& reply = std::get<StopReply>(answer.reply);
         const Millis now = this->services.clock.now();
-        this->observeOrder("stop", sentAt, now);
+        this->observeOrderTime("stop", sentAt, now);
         if (reply.clock)
-            this->clocks.heard(order.worker, *reply.clock, now);
+            this->workerClocks.update(order.worker, *reply.clock, now);
         this->services.metrics.count("rattan_orders_total", { { "order", "stop" }, { "outcome", reply.taken ? "taken" : "not_taken" } });
         if (!reply.taken)
-            logEvent(events::orderRefused, { { "order", "stop" }, { "run", runText(order.run) }, { "worker", order.worker.id }, { "status", answer.status } });
+            logEvent(events::orderRefused, { { "order", "stop" }, { "run", formatRun(order.run) }, { "worker", order.worker.id }, { "status", answer.status } });
         if (reply.deposed)
-            this->isLost = true;
+            this->termLost = true;
         this->planner->stopAnswered(order.worker, order.run, reply.taken, now);
     });
 }
 
-void Leadership::observeOrder(const char* kind, Millis sentAt, Millis now)
+void Leadership::observeOrderTime(const char* kind, Millis sentAt, Millis now)
 {
     constexpr double millisPerSecond = 1000;
     this->services.metrics.observe("rattan_order_seconds", { { "order", kind } }, static_cast<double>(now - sentAt) / millisPerSecond);
@@ -341,16 +341,16 @@
 void Leadership::sendPoll(const tasks::PollOrder& order, Millis now)
 {
     std::optional<Millis> leaseEnd;
-    if (const auto shown = this->clocks.show(order.worker, now); shown && order.renews)
-        leaseEnd = *shown + this->services.settings.longestLease;
-    this->channel.send({ order, this->number, leaseEnd }, [this, order, now](const WorkerAnswer& answer) {
+    if (const auto estimated = this->workerClocks.estimate(order.worker, now); estimated && order.renews)
+        leaseEnd = *estimated + this->services.settings.maxLease;
+    this->channel.send({ order, this->termNumber, leaseEnd }, [this, order, now](const WorkerAnswer& answer) {
         const auto& reply = std::get<PollReply>(answer.reply);
-        const Millis heardAt = this->services.clock.now();
+        const Millis answeredAt = this->services.clock.now();
         this->services.metrics.count("rattan_orders_total", { { "order", "poll" }, { "outcome", reply.report ? "answered" : std::string(tasks::nameOf(reply.fault)) } });
         if (!reply.report)
-            return this->planner->pollFailed(order.worker, order.beside, reply.fault, heardAt);
-        this->clocks.heard(order.worker, reply.report->clock, heardAt);
-        this->planner->pollAnswered(order.worker, now, order.beside, *reply.report, heardAt);
+            return this->planner->pollFailed(order.worker, order.beside, reply.fault, answeredAt);
+        this->workerClocks.update(order.worker, reply.report->clock, answeredAt);
+        this->planner->pollAnswered(order.worker, now, order.beside, *reply.report, answeredAt);
     });
 }
 
@@ -358,19 +358,19 @@
 {
     this->services.metrics.count("rattan_decisions_total", { { "kind", std::string(nameOf(event.kind)) } });
     const std::string_view kind = nameOf(event.kind);
-    logEvent(events::decided, { { "kind", kind }, { "job", event.job }, { "unit", event.unit }, { "run", event.run }, { "worker", event.worker }, { "why", event.detail }, { "term", this->number } }, kind);
+    logEvent(events::planDecided, { { "kind", kind }, { "job", event.job }, { "unit", event.unit }, { "run", event.run }, { "worker", event.worker }, { "why", event.detail }, { "term", this->termNumber } }, kind);
 }
 
-void Leadership::logRound(Millis took) const
+void Leadership::logSlowRound(Millis duration) const
 {
     const tasks::TaskPlanner::Round& round = this->planner->lastRound();
-    logEvent(events::roundSlow, { { "took_ms", took }, { "units", round.kind == tasks::RoundKind::Urgent ? "urgent" : "all" }, { "candidates", round.candidates }, { "placed", round.placed }, { "searches", round.searches }, { "eviction_searches", round.evictionSearches }, { "reservations", round.reservations }, { "term", this->number } });
+    logEvent(events::roundSlow, { { "took_ms", duration }, { "units", round.kind == tasks::RoundKind::Urgent ? "urgent" : "all" }, { "candidates", round.candidates }, { "placed", round.placed }, { "searches", round.searches }, { "eviction_searches", round.evictionSearches }, { "reservations", round.reservations }, { "term", this->termNumber } });
 }
 
 void Leadership::recordRead(Stream, const StoreRecord& record, Millis)
 {
-    auto& target = this->loadingList ? this->loadingSightings : this->sightings;
-    this->listChanged = true;
+    auto& target = this->loadingWorkerList ? this->loadingSightings : this->sightings;
+    this->workerListChanged = true;
     if (record.value.empty()) {
         target.erase(record.key);
         return;
@@ -387,18 +387,18 @@
 
 void Leadership::loadBegun(Stream)
 {
-    this->loadingList = true;
+    this->loadingWorkerList = true;
     this->loadingSightings.clear();
 }
 
 void Leadership::streamConfirmed(Stream, std::int64_t, Millis, Millis)
 {
-    if (!this->loadingList)
+    if (!this->loadingWorkerList)
         return;
-    this->loadingList = false;
+    this->loadingWorkerList = false;
     this->sightings = std::move(this->loadingSightings);
     this->loadingSightings.clear();
-    this->listChanged = true;
+    this->workerListChanged = true;
 }
 
 void Leadership::streamFailed(Stream, const std::string& why, Millis)
--- a/src/instance/leadership.h
+++ b/src/instance/leadership.h
@@ -58,16 +58,16 @@
 
     // Everything appended to the stream of plans before `at` is in its table.
     void plansConfirmed(Millis at, Millis now, Millis wall);
-    bool wantsPlans() const { return this->plansStream.fencedAt() > 0 && !this->plansKnown; }
+    bool needsPlans() const { return this->plansAppender.fencedAt() > 0 && !this->plansLoaded; }
 
     // True while the term cannot begin until the jobs' stream was read further.
-    bool wantsRead() const { return this->jobsStream.fencedAt() > 0 && !this->jobsKnown; }
+    bool needsJobsRead() const { return this->jobsAppender.fencedAt() > 0 && !this->jobsLoaded; }
 
     void step(Millis now, Millis wall);
-    bool lost() const { return this->isLost || this->jobsStream.isLost() || this->plansStream.isLost() || (this->planner && this->planner->deposed()); }
+    bool isLost() const { return this->termLost || this->jobsAppender.isLost() || this->plansAppender.isLost() || (this->planner && this->planner->deposed()); }
     Millis nextWake(Millis now, Millis wall) const;
-    std::int64_t term() const { return this->number; }
-    bool planning() const { return this->planner != nullptr; }
+    std::int64_t term() const { return this->termNumber; }
+    bool isPlanning() const { return this->planner != nullptr; }
 
     // What instances tell that carry orders for this one.
     void answersArrived(const delivery::AnswersArrived& answers, Millis now) { this->channel.arrived(answers, now); }
@@ -81,47 +81,47 @@
 
 private:
     void beginPlanning(Millis now, Millis wall);
-    void plan(Millis now, Millis wall);
-    void carryOut(tasks::Orders, Millis now);
+    void runPlanner(Millis now, Millis wall);
+    void executeOrders(tasks::Orders, Millis now);
     void append(const tasks::RecordBatch&);
-    void stepRecords(Millis now);
-    void forgetOldJobs(Millis now);
+    void checkBatch(Millis now);
+    void forgetExpiredJobs(Millis now);
     void sendStart(const tasks::StartOrder&);
     void sendStop(const tasks::StopOrder&);
     void sendPoll(const tasks::PollOrder&, Millis now);
-    void observeOrder(const char* kind, Millis sentAt, Millis now);
-    bool stillLeads();
-    void tellWorkers(Millis now);
+    void observeOrderTime(const char* kind, Millis sentAt, Millis now);
+    bool confirmLeadership();
+    void updateWorkers(Millis now);
     void sendAdvice(const tasks::AdviceOrder&);
-    void sendPollsLeft(Millis now);
-    void logRound(Millis took) const;
+    void sendRemainingPolls(Millis now);
+    void logSlowRound(Millis duration) const;
     void logPlanEvent(const tasks::PlanEvent&) const;
 
-    const std::int64_t number;
+    const std::int64_t termNumber;
     TermServices services;
     const tasks::JobTable& jobs;
     std::shared_ptr<const tasks::Catalog> catalog;
     std::unique_ptr<tasks::TaskPlanner> planner;
-    delivery::DirectChannel direct;
+    delivery::DirectChannel directChannel;
     delivery::RelayedChannel channel;
     StreamReader workerList;
     std::map<std::string, tasks::WorkerSighting> sightings;
     std::map<std::string, tasks::WorkerSighting> loadingSightings;
-    bool loadingList { false };
-    bool listChanged { false };
-    WorkerClocks clocks;
+    bool loadingWorkerList { false };
+    bool workerListChanged { false };
+    WorkerClocks workerClocks;
 
-    TermStream jobsStream;
-    TermStream plansStream;
+    TermAppender jobsAppender;
+    TermAppender plansAppender;
     const tasks::PlanTable& plans;
-    bool jobsKnown { false }; // As they were when earlier terms could not append any more,
-    bool plansKnown { false }; // and so are the plans.
-    std::int64_t batchUnderWay { 0 }; // 0: none.
+    bool jobsLoaded { false }; // As they were when earlier terms could not append any more,
+    bool plansLoaded { false }; // and so are the plans.
+    std::int64_t batchInFlight { 0 }; // 0: none.
     Millis batchSentAt { 0 };
-    Millis forgetAt { 0 };
-    Millis nextTurn { 0 }; // Of the planner.
-    Millis nextPolls { 0 }; // Of those that were left over in its turn.
-    bool isLost { false };
+    Millis nextForgetAt { 0 };
+    Millis nextPlanAt { 0 }; // Of the planner.
+    Millis nextPollsAt { 0 }; // Of those that were left over in its turn.
+    bool termLost { false };
 };
 
 } // namespace rattan::instance
--- a/src/instance/planner_watch.h
+++ b/src/instance/planner_watch.h
@@ -42,16 +42,16 @@
 class PlannerWatch {
 public:
     // Short against what an urgent job has to spare.
-    static constexpr Millis beatEvery = 100;
+    static constexpr Millis heartbeatInterval = 100;
 
     // Four heartbeats; one datagram in forty is lost on the worst links that we know of.
-    static constexpr Millis silence = 450;
+    static constexpr Millis heartbeatTimeout = 450;
 
     // Enough that one of them reaches the store in most cuts; more only cost.
-    static constexpr std::size_t mostWatchers = 12;
+    static constexpr std::size_t maxWatchers = 12;
 
     // The newest claim; of this instance itself, peer is empty.
-    void claimed(const WatchedPlanner&, Millis now);
+    void plannerChanged(const WatchedPlanner&, Millis now);
 
     void received(const std::string& peer, const std::string& text, Millis now);
 
@@ -60,33 +60,33 @@
     std::vector<WatchMessage> step(std::int64_t term, bool renewalFailed, Millis now);
 
     // The planner has sent heartbeats and no more, or has said that it gives up.
-    bool plannerGone(Millis now) const;
+    bool hasPlannerFailed(Millis now) const;
 
 private:
     // Watchers ask this often, and are served for this long after they asked.
-    static constexpr Millis askEvery = 1000;
-    static constexpr Millis served = 3500;
+    static constexpr Millis watchRequestInterval = 1000;
+    static constexpr Millis watcherExpiry = 3500;
 
     // Heartbeats before silence means anything: the first may come while the path is
     // being set up.
-    static constexpr int leastHeard = 2;
+    static constexpr int minHeartbeats = 2;
 
     // A planner that follows one that led for less than this is let alone for as long:
     // taking over beside hundreds of workers takes a second in which heartbeats may fail
     // to come, and one that is taken as gone meanwhile would be followed by the next in
     // the same state, so that nobody ever gets to plan.
-    static constexpr Millis settling = 3000;
+    static constexpr Millis shortTermLimit = 3000;
 
     WatchedPlanner planner;
     Millis claimedAt { 0 };
-    Millis watchedFrom { 0 }; // Before then silence says nothing.
-    int heard { 0 };
-    Millis heardAt { 0 };
-    bool gaveUp { false };
-    Millis askAt { 0 };
+    Millis detectionStartsAt { 0 }; // Before then silence says nothing.
+    int heartbeatCount { 0 };
+    Millis lastHeartbeatAt { 0 };
+    bool endReceived { false };
+    Millis nextWatchRequestAt { 0 };
     std::map<std::string, Millis> watchers; // And when they asked last.
-    Millis beatAt { 0 };
-    bool toldOfEnd { false };
+    Millis nextHeartbeatAt { 0 };
+    bool endSent { false };
 };
 
 } // namespace rattan::instance
--- a/src/instance/program.cc
+++ b/src/instance/program.cc
@@ -15,22 +15,22 @@
 
 namespace {
 
-    constexpr int badSettings = 2;
-    constexpr int cannotServe = 1;
+    constexpr int badSettingsExitCode = 2;
+    constexpr int startFailedExitCode = 1;
 
-    constexpr std::int64_t mostBody = 512 * 1024; // Bytes; the operators' configuration allows less, and is checked first.
-    constexpr std::int64_t mostCallers = 400; // Connections, each with a thread of about 60 KB: 24 MB.
-    constexpr std::int64_t mostProbes = 16; // Connections of the balancer and of who reads metrics.
+    constexpr std::int64_t maxBodyBytes = 512 * 1024; // Bytes; the operators' configuration allows less, and is checked first.
+    constexpr std::int64_t maxCallerConnections = 400; // Connections, each with a thread of about 60 KB: 24 MB.
+    constexpr std::int64_t maxProbeConnections = 16; // Connections of the balancer and of who reads metrics.
     constexpr std::int64_t callerIdleSeconds = 20; // Longer than the operators' configuration lets a caller be idle.
 
-    constexpr Millis pollStep = 20;
-    constexpr Millis probesClosed = 100; // Their answers need no waiting.
+    constexpr Millis pollInterval = 20;
+    constexpr Millis probesCloseTimeout = 100; // Their answers need no waiting.
 
     http::Answer readiness(const ControlLoop& loop)
     {
         http::Answer answer;
-        answer.status = loop.ready() ? 200 : 503;
-        answer.body = loop.ready() ? "{\"ready\":true}" : "{\"ready\":false}";
+        answer.status = loop.isReady() ? 200 : 503;
+        answer.body = loop.isReady() ? "{\"ready\":true}" : "{\"ready\":false}";
         return answer;
     }
 
@@ -40,8 +40,8 @@
             : settings(std::move(settings))
             , protocols(protocols)
             , loop(this->settings, protocols, this->clock, this->metrics)
-            , callers({ .address = this->settings.callerAddress, .bodyLimit = mostBody, .connectionLimit = mostCallers, .idleSeconds = callerIdleSeconds })
-            , probes({ .address = this->settings.readyAddress, .connectionLimit = mostProbes, .idleSeconds = callerIdleSeconds })
+            , callers({ .address = this->settings.callerAddress, .bodyLimit = maxBodyBytes, .connectionLimit = maxCallerConnections, .idleSeconds = callerIdleSeconds })
+            , probes({ .address = this->settings.readyAddress, .connectionLimit = maxProbeConnections, .idleSeconds = callerIdleSeconds })
         {
             this->callers.fallback([this](const http::Request& request) { return this->serve(request); });
             this->probes.route("GET", "/readyz", [this](const http::Request&) { return readiness(this->loop); });
@@ -50,18 +50,18 @@
             });
         }
 
-        int run(const StopSignal& signals, const ReadSettings& read)
+        int run(const StopSignal& signals, const ReadSettings& readSettings)
         {
             this->loop.start();
             for (http::Server* server : { &this->probes, &this->callers }) {
                 if (const auto error = attemptVoid([&] { return server->start(); })) {
                     logEvent(events::startFailed, { { "step", error->step }, { "peer", error->peer }, { "why", error->message } });
-                    return cannotServe;
+                    return startFailedExitCode;
                 }
             }
             logEvent(events::started, { { "callers", this->callers.address() }, { "ready", this->probes.address() }, { "store", this->settings.storeAddress } });
             while (signals.next() == Signal::Reload)
-                this->reload(read);
+                this->reload(readSettings);
             this->drain();
             return 0;
         }
@@ -69,19 +69,19 @@
     private:
         http::Answer serve(const http::Request& request)
         {
-            return this->protocols.callers.encode(this->loop.ask(this->protocols.callers.parseRequest(request)));
+            return this->protocols.callers.encode(this->loop.handleRequest(this->protocols.callers.parseRequest(request)));
         }
 
-        void reload(const ReadSettings& read)
+        void reload(const ReadSettings& readSettings)
         {
-            const Attempt<InstanceSettings> fresh = attempt([&] { return read(); });
-            if (!fresh.value) {
-                logEvent(events::reloadRefused, { { "why", fresh.error.message } });
+            const Attempt<InstanceSettings> newSettings = attempt([&] { return readSettings(); });
+            if (!newSettings.value) {
+                logEvent(events::reloadRefused, { { "why", newSettings.error.message } });
                 return;
             }
-            this->loop.apply(*fresh.value);
-            this->settings.grace = fresh.value->grace;
-            logEvent(events::reloaded, { { "store", fresh.value->storeAddress } });
+            this->loop.apply(*newSettings.value);
+            this->settings.grace = newSettings.value->grace;
+            logEvent(events::reloaded, { { "store", newSettings.value->storeAddress } });
         }
 
         // A planned stop: the balancer is told, the term is handed over, and callers are
@@ -90,16 +90,16 @@
         void drain()
         {
             logEvent(events::stopping, { { "grace_ms", this->settings.grace } });
-            const Millis begun = this->clock.now();
-            const StopPlan plan = planStop(this->settings.grace);
+            const Millis startedAt = this->clock.now();
+            const ShutdownSchedule schedule = scheduleShutdown(this->settings.grace);
             this->callers.drain();
-            this->loop.drain(begun + plan.answeredAt);
-            while (this->clock.now() < begun + plan.noticedAt)
-                std::this_thread::sleep_for(std::chrono::milliseconds(pollStep));
-            const http::StopReport report = this->callers.stop(std::max<Millis>(begun + plan.closedAt - this->clock.now(), 0));
-            this->probes.stop(probesClosed);
+            this->loop.drain(startedAt + schedule.answerDeadline);
+            while (this->clock.now() < startedAt + schedule.acceptUntil)
+                std::this_thread::sleep_for(std::chrono::milliseconds(pollInterval));
+            const http::StopReport report = this->callers.stop(std::max<Millis>(startedAt + schedule.closeDeadline - this->clock.now(), 0));
+            this->probes.stop(probesCloseTimeout);
             this->loop.stop();
-            logEvent(events::stopped, { { "took_ms", this->clock.now() - begun }, { "in_progress", report.inProgress }, { "cut", report.cut } });
+            logEvent(events::stopped, { { "took_ms", this->clock.now() - startedAt }, { "in_progress", report.inProgress }, { "cut", report.cut } });
         }
 
         InstanceSettings settings;
@@ -113,18 +113,18 @@
 
 } // namespace
 
-int runInstance(const ReadSettings& read, Protocols protocols)
+int runInstance(const ReadSettings& readSettings, Protocols protocols)
 {
     const StopSignal signals(true);
-    const Attempt<InstanceSettings> settings = attempt([&] { return read(); });
+    const Attempt<InstanceSettings> settings = attempt([&] { return readSettings(); });
     if (!settings.value) {
         fmt::print(stderr, "rattan-instance: {}\n", settings.error.message);
-        return badSettings;
+        return badSettingsExitCode;
     }
     startLog("rattan-instance", settings.value->name, Level::Info);
     logInBackground();
     InstanceProgram program(*settings.value, protocols);
-    const int code = program.run(signals, read);
+    const int code = program.run(signals, readSettings);
     stopLog();
     return code;
 }
--- a/src/instance/request_forwarder.cc
+++ b/src/instance/request_forwarder.cc
@@ -10,58 +10,58 @@
 
 namespace {
 
-    constexpr Millis usualPatience = 3000; // Of callers that do not tell theirs.
-    constexpr Millis kept = 300; // Of a caller's patience, for the way back.
-    constexpr Millis longest = 1500; // An append at a slow store and a retry of it.
-    constexpr Millis shortest = 100; // With less left, a caller hears sooner by coming back.
+    constexpr Millis defaultCallerTimeout = 3000; // Of callers that do not tell theirs.
+    constexpr Millis responseMargin = 300; // Of a caller's patience, for the way back.
+    constexpr Millis maxForwardTime = 1500; // An append at a slow store and a retry of it.
+    constexpr Millis minForwardTime = 100; // With less left, a caller hears sooner by coming back.
     constexpr std::chrono::milliseconds connectTimeout { 250 }; // Ten times the way there and back between distant failure domains.
 
 } // namespace
 
-Relay::Relay(http::AsyncClient& client, const CallerProtocol& protocol, const Clock& clock, std::string own)
+RequestForwarder::RequestForwarder(http::AsyncClient& client, const CallerProtocol& protocol, const Clock& clock, std::string ownAddress)
     : client(client)
     , protocol(protocol)
     , clock(clock)
-    , peers(std::move(own))
+    , peers(std::move(ownAddress))
 {
 }
 
-Millis Relay::timeLeft(const CallerRequest& request, Millis waited) const
+Millis RequestForwarder::remainingTime(const CallerRequest& request, Millis waitTime) const
 {
-    const Millis patience = request.patience > 0 ? request.patience : usualPatience;
-    return std::min({ patience - waited - kept, longest, this->lastAnswerAt - this->clock.now() });
+    const Millis callerTimeout = request.timeout > 0 ? request.timeout : defaultCallerTimeout;
+    return std::min({ callerTimeout - waitTime - responseMargin, maxForwardTime, this->answerDeadline - this->clock.now() });
 }
 
-bool Relay::wants(const CallerRequest& request, const CallerAnswer& answer, Millis waited) const
+bool RequestForwarder::shouldForward(const CallerRequest& request, const CallerAnswer& answer, Millis waitTime) const
 {
-    return answer.wantsStore && !request.relayed && this->timeLeft(request, waited) >= shortest && this->peers.choose(this->clock.now()).has_value();
+    return answer.givenWithoutStore && !request.forwarded && this->remainingTime(request, waitTime) >= minForwardTime && this->peers.choose(this->clock.now()).has_value();
 }
 
-void Relay::pass(const CallerRequest& request, const CallerAnswer& own, Millis waited, Handler handler)
+void RequestForwarder::forward(const CallerRequest& request, const CallerAnswer& ownAnswer, Millis waitTime, Handler handler)
 {
     const std::string peer = this->peers.choose(this->clock.now()).value_or("");
-    CallerRequest passed = request;
-    passed.relayed = true;
-    passed.patience = this->timeLeft(request, waited);
-    http::Call call = this->protocol.encodeRequest(passed);
+    CallerRequest forwardedRequest = request;
+    forwardedRequest.forwarded = true;
+    forwardedRequest.timeout = this->remainingTime(request, waitTime);
+    http::Call call = this->protocol.encodeRequest(forwardedRequest);
     call.address = peer;
     call.purpose = "callers_relayed";
-    call.timeout = std::chrono::milliseconds(passed.patience);
+    call.timeout = std::chrono::milliseconds(forwardedRequest.timeout);
     call.connectTimeout = connectTimeout;
     call.resend = true;
     const RequestKind kind = request.kind;
-    const std::string job = request.path.substr(request.path.rfind('/') + 1);
-    this->client.send(std::move(call), [this, peer, kind, job, own, handler = std::move(handler)](const http::Reply& reply) {
-        const std::optional<CallerAnswer> other = reply.error ? std::nullopt : this->protocol.parseAnswer(kind, reply);
-        const CallerAnswer answer = answerAfterRelay(kind, own, other, reply);
-        if (other) {
-            this->peers.answered(peer);
+    const std::string jobId = request.path.substr(request.path.rfind('/') + 1);
+    this->client.send(std::move(call), [this, peer, kind, jobId, ownAnswer, handler = std::move(handler)](const http::Reply& reply) {
+        const std::optional<CallerAnswer> peerAnswer = reply.error ? std::nullopt : this->protocol.parseAnswer(kind, reply);
+        const CallerAnswer answer = mergeForwardedAnswer(kind, ownAnswer, peerAnswer, reply);
+        if (peerAnswer) {
+            this->peers.markReachable(peer);
             if (kind != RequestKind::State)
-                logEvent(events::passedOn, { { "job", job }, { "peer", peer }, { "own", nameOf(own.outcome) }, { "own_configuration", own.configurationVersion }, { "other", nameOf(other->outcome) }, { "other_configuration", other->configurationVersion }, { "transmissions", reply.transmissions }, { "told", nameOf(answer.outcome) } });
+                logEvent(events::requestForwarded, { { "job", jobId }, { "peer", peer }, { "own", nameOf(ownAnswer.outcome) }, { "own_configuration", ownAnswer.configurationVersion }, { "other", nameOf(peerAnswer->outcome) }, { "other_configuration", peerAnswer->configurationVersion }, { "transmissions", reply.transmissions }, { "told", nameOf(answer.outcome) } });
             return handler(answer);
         }
-        this->peers.failed(peer, this->clock.now());
-        logEvent(events::relayFailed, { { "job", job }, { "peer", peer }, { "status", reply.status }, { "transmissions", reply.transmissions }, { "why", reply.error ? reply.error->message : "an answer that cannot be read" } });
+        this->peers.markUnreachable(peer, this->clock.now());
+        logEvent(events::forwardFailed, { { "job", jobId }, { "peer", peer }, { "status", reply.status }, { "transmissions", reply.transmissions }, { "why", reply.error ? reply.error->message : "an answer that cannot be read" } });
         handler(answer);
     });
 }
--- a/src/instance/request_forwarder.h
+++ b/src/instance/request_forwarder.h
@@ -26,33 +26,33 @@
 
 namespace rattan::instance {
 
-class Relay {
+class RequestForwarder {
 public:
     using Handler = std::function<void(const CallerAnswer&)>;
 
-    Relay(http::AsyncClient&, const CallerProtocol&, const Clock&, std::string own);
+    RequestForwarder(http::AsyncClient&, const CallerProtocol&, const Clock&, std::string ownAddress);
 
     // The instance at this address holds the newest claim.
-    void planned(const std::string& address) { this->peers.planned(address); }
+    void plannerSeen(const std::string& address) { this->peers.plannerSeen(address); }
 
     // This instance stops: no answer is waited for after that.
-    void answerEverythingBy(Millis at) { this->lastAnswerAt = at; }
+    void setAnswerDeadline(Millis at) { this->answerDeadline = at; }
 
     // Whether another instance may know better than this answer, and there is time to
     // ask it; the caller has waited so long already.
-    bool wants(const CallerRequest&, const CallerAnswer&, Millis waited) const;
+    bool shouldForward(const CallerRequest&, const CallerAnswer&, Millis waitTime) const;
 
     // Calls the handler exactly once: with the other's answer, or with the given one.
-    void pass(const CallerRequest&, const CallerAnswer& own, Millis waited, Handler);
+    void forward(const CallerRequest&, const CallerAnswer& ownAnswer, Millis waitTime, Handler);
 
 private:
-    Millis timeLeft(const CallerRequest&, Millis waited) const;
+    Millis remainingTime(const CallerRequest&, Millis waitTime) const;
 
     http::AsyncClient& client;
     const CallerProtocol& protocol;
     const Clock& clock;
-    RelayPeers peers;
-    Millis lastAnswerAt { std::numeric_limits<Millis>::max() };
+    ForwardingPeers peers;
+    Millis answerDeadline { std::numeric_limits<Millis>::max() };
 };
 
 } // namespace rattan::instance
--- a/src/instance/settings.h
+++ b/src/instance/settings.h
@@ -17,13 +17,13 @@
     std::string peerAddress; // IP:PORT for datagrams of other instances; empty: none are exchanged.
     std::string storeAddress; // IP:PORT of the platform's store.
     std::string adviceAddress; // IP:PORT of the service that knows queues' policies; empty: none.
-    Millis longestLease { 10000 }; // That a worker grants.
+    Millis maxLease { 10000 }; // That a worker grants.
     Millis stopTimeout { 200 }; // Longest time that a stop takes at a worker.
     Millis keyExpiry { 5000 }; // A key that was taken away must not work for longer than this.
     Millis grace { 6000 }; // From the signal to stop until the process is killed.
-    Millis statusKept { 120000 }; // How long the state of a job that is over is told.
-    double processorShare { 1 }; // Cores that this process may use.
-    double linkMegabits { 1000 }; // A second, of its machine's own link.
+    Millis statusRetention { 120000 }; // How long the state of a job that is over is told.
+    double processorCores { 1 }; // Cores that this process may use.
+    double linkMegabitsPerSecond { 1000 }; // A second, of its machine's own link.
 };
 
 } // namespace rattan::instance
--- a/src/instance/shutdown_schedule.h
+++ b/src/instance/shutdown_schedule.h
@@ -11,12 +11,12 @@
 
 namespace rattan::instance {
 
-struct StopPlan {
-    Millis noticedAt { 0 }; // Until then new connections may come, and callers are served as ever.
-    Millis answeredAt { 0 }; // By then every request is answered, if need be with "unknown".
-    Millis closedAt { 0 }; // By then answers are written; what is left is cut.
+struct ShutdownSchedule {
+    Millis acceptUntil { 0 }; // Until then new connections may come, and callers are served as ever.
+    Millis answerDeadline { 0 }; // By then every request is answered, if need be with "unknown".
+    Millis closeDeadline { 0 }; // By then answers are written; what is left is cut.
 };
 
-StopPlan planStop(Millis grace);
+ShutdownSchedule scheduleShutdown(Millis grace);
 
 } // namespace rattan::instance
--- a/src/instance/store_protocol.h
+++ b/src/instance/store_protocol.h
@@ -40,8 +40,8 @@
     std::int64_t number { 0 };
 };
 
-struct AppendTerms {
-    std::optional<std::int64_t> at; // Only if the log ends there.
+struct AppendConditions {
+    std::optional<std::int64_t> expectedEnd; // Only if the log ends there.
     std::optional<Producer> producer;
 };
 
@@ -70,7 +70,7 @@
 
 struct NewestPage {
     std::vector<StoreRecord> records;
-    bool more { false };
+    bool hasMore { false };
     std::int64_t end { 0 };
 };
 
@@ -79,7 +79,7 @@
     virtual ~StoreProtocol() = default;
 
     // The time-outs of the calls are set by the caller.
-    virtual http::Call append(Stream, const std::vector<StoreRecord>&, const AppendTerms&) const = 0;
+    virtual http::Call append(Stream, const std::vector<StoreRecord>&, const AppendConditions&) const = 0;
     virtual AppendReply parseAppend(const http::Reply&) const = 0;
 
     virtual http::Call read(Stream, std::int64_t from, Millis wait) const = 0;
--- a/src/instance/stream_reader.cc
+++ b/src/instance/stream_reader.cc
@@ -12,10 +12,10 @@
 
     // After a call that failed, doubling up to the longest: a store that is down
     // answers no sooner for being asked more, and every call has its price.
-    constexpr Millis firstPause = 50;
-    constexpr Millis longestPause = 400;
+    constexpr Millis minRetryDelay = 50;
+    constexpr Millis maxRetryDelay = 400;
 
-    constexpr std::chrono::milliseconds connectLimit { 600 };
+    constexpr std::chrono::milliseconds connectTimeout { 600 };
 
 } // namespace
 
@@ -30,22 +30,22 @@
 
 void StreamReader::step(Millis now)
 {
-    if (this->callUnderWay || now < this->notBefore || (!this->hurried && now < this->gathersUntil))
+    if (this->callInFlight || now < this->nextReadAt || (!this->lowLatency && now < this->batchUntil))
         return;
-    if (this->next < 0 || this->loading)
+    if (this->nextOffset < 0 || this->loading)
         this->load();
     else
-        this->read(this->waitsNow() ? this->options.wait : 0, false);
+        this->read(this->shouldWait() ? this->options.wait : 0, false);
 }
 
 // The first read after a failure does not wait: it would confirm only when its wait is
 // over that nothing has changed. Until then the operators' configuration counts as unknown,
 // and every caller with a key is turned away.
-bool StreamReader::waitsNow() const { return this->options.pause == 0 && this->failurePause == 0; }
+bool StreamReader::shouldWait() const { return this->options.readInterval == 0 && this->retryDelay == 0; }
 
 void StreamReader::probe()
 {
-    if (!this->probeUnderWay && this->loaded())
+    if (!this->probeInFlight && this->loaded())
         this->read(0, true);
 }
 
@@ -54,20 +54,20 @@
     const Millis sentAt = this->clock.now();
     if (!this->loading) {
         this->loading = true;
-        this->loadedTo.clear();
+        this->lastLoadedKey.clear();
         this->loadEnd = -1;
         this->loadSentAt = sentAt;
         this->handler.loadBegun(this->options.stream);
     }
-    http::Call call = this->protocol.newest(this->options.stream, this->loadedTo);
+    http::Call call = this->protocol.newest(this->options.stream, this->lastLoadedKey);
     call.purpose = "load";
     call.address = this->options.address;
     call.timeout = std::chrono::milliseconds(this->options.timeout);
     call.timeoutWhileSilent = true;
-    call.connectTimeout = connectLimit;
-    this->callUnderWay = true;
+    call.connectTimeout = connectTimeout;
+    this->callInFlight = true;
     this->client.send(std::move(call), [this, sentAt](const http::Reply& reply) {
-        this->callUnderWay = false;
+        this->callInFlight = false;
         this->pageRead(reply, sentAt);
     });
 }
@@ -78,33 +78,33 @@
     if (!page.value)
         return this->failed(page.error.message);
     const Millis now = this->clock.now();
-    this->failurePause = 0;
+    this->retryDelay = 0;
     if (this->loadEnd < 0)
         this->loadEnd = page.value->end;
     for (const StoreRecord& record : page.value->records)
         this->handler.recordRead(this->options.stream, record, now);
-    if (page.value->more && !page.value->records.empty()) {
-        this->loadedTo = page.value->records.back().key;
+    if (page.value->hasMore && !page.value->records.empty()) {
+        this->lastLoadedKey = page.value->records.back().key;
         return;
     }
     this->loading = false;
-    this->next = this->loadEnd;
+    this->nextOffset = this->loadEnd;
     this->confirm(this->loadSentAt);
 }
 
 void StreamReader::read(Millis wait, bool isProbe)
 {
     const Millis sentAt = this->clock.now();
-    const std::int64_t from = this->next;
+    const std::int64_t from = this->nextOffset;
     http::Call call = this->protocol.read(this->options.stream, from, wait);
     call.purpose = nameOf(this->options.stream);
     call.address = this->options.address;
     call.timeout = std::chrono::milliseconds(wait + this->options.timeout);
     call.timeoutWhileSilent = true;
-    call.connectTimeout = connectLimit;
-    (isProbe ? this->probeUnderWay : this->callUnderWay) = true;
+    call.connectTimeout = connectTimeout;
+    (isProbe ? this->probeInFlight : this->callInFlight) = true;
     this->client.send(std::move(call), [this, isProbe, from, wait, sentAt](const http::Reply& reply) {
-        (isProbe ? this->probeUnderWay : this->callUnderWay) = false;
+        (isProbe ? this->probeInFlight : this->callInFlight) = false;
         this->recordsRead(reply, from, wait, sentAt);
     });
 }
@@ -115,40 +115,40 @@
     if (!read.value)
         return this->failed(read.error.message);
     const Millis now = this->clock.now();
-    this->failurePause = 0;
+    this->retryDelay = 0;
     if (this->loading)
         return; // A probe that was overtaken by a load.
     if (read.value->dropped) {
-        this->next = -1;
+        this->nextOffset = -1;
         return;
     }
     for (const StoreRecord& record : read.value->records) {
-        if (record.offset < this->next)
+        if (record.offset < this->nextOffset)
             continue;
         this->handler.recordRead(this->options.stream, record, now);
-        this->next = record.offset + 1;
+        this->nextOffset = record.offset + 1;
     }
-    this->notBefore = now + this->options.pause;
+    this->nextReadAt = now + this->options.readInterval;
     if (!read.value->records.empty())
-        this->gathersUntil = now + this->options.gather;
+        this->batchUntil = now + this->options.batchInterval;
     // An answer without records was given when its wait was over.
-    const bool waited = read.value->records.empty() && now - sentAt >= wait;
-    if (this->next >= read.value->end)
-        this->confirm(waited ? sentAt + wait : sentAt);
+    const bool waitExpired = read.value->records.empty() && now - sentAt >= wait;
+    if (this->nextOffset >= read.value->end)
+        this->confirm(waitExpired ? sentAt + wait : sentAt);
 }
 
 void StreamReader::failed(const std::string& why)
 {
     const Millis now = this->clock.now();
-    this->failurePause = std::clamp(this->failurePause * 2, firstPause, longestPause);
-    this->notBefore = now + this->failurePause;
+    this->retryDelay = std::clamp(this->retryDelay * 2, minRetryDelay, maxRetryDelay);
+    this->nextReadAt = now + this->retryDelay;
     this->handler.streamFailed(this->options.stream, why, now);
 }
 
 void StreamReader::confirm(Millis at)
 {
-    this->confirmed = std::max(this->confirmed, at);
-    this->handler.streamConfirmed(this->options.stream, this->next, this->confirmed, this->clock.now());
+    this->confirmedTime = std::max(this->confirmedTime, at);
+    this->handler.streamConfirmed(this->options.stream, this->nextOffset, this->confirmedTime, this->clock.now());
 }
 
 } // namespace rattan::instance
--- a/src/instance/stream_reader.h
+++ b/src/instance/stream_reader.h
@@ -25,8 +25,8 @@
     Stream stream { Stream::Jobs };
     std::string address;
     Millis wait { 1000 }; // How long a read may wait for a record: what the caller may hear late of a silent connection.
-    Millis pause { 0 }; // Between two reads that do not wait; for streams that change all the time.
-    Millis gather { 0 }; // After records were read, so that those that follow closely share a read; nobody waits for them.
+    Millis readInterval { 0 }; // Between two reads that do not wait; for streams that change all the time.
+    Millis batchInterval { 0 }; // After records were read, so that those that follow closely share a read; nobody waits for them.
     Millis timeout { 1200 }; // Beyond the wait; answers take a few milliseconds on good days.
 };
 
@@ -53,13 +53,13 @@
     void probe();
 
     // While somebody waits for the next record, it is read as soon as it is there.
-    void hurry(bool hurried) { this->hurried = hurried; }
+    void setLowLatency(bool lowLatency) { this->lowLatency = lowLatency; }
 
-    Millis confirmedAt() const { return this->confirmed; }
-    bool loaded() const { return this->next >= 0 && !this->loading; }
+    Millis confirmedAt() const { return this->confirmedTime; }
+    bool loaded() const { return this->nextOffset >= 0 && !this->loading; }
 
 private:
-    bool waitsNow() const;
+    bool shouldWait() const;
     void load();
     void read(Millis wait, bool isProbe);
     void pageRead(const http::Reply&, Millis sentAt);
@@ -73,18 +73,18 @@
     const StreamReaderOptions options;
     StreamHandler& handler;
 
-    std::int64_t next { -1 }; // The offset to read from; below 0: nothing loaded yet.
+    std::int64_t nextOffset { -1 }; // The offset to read from; below 0: nothing loaded yet.
     bool loading { false };
-    std::string loadedTo; // The last key of the last page.
+    std::string lastLoadedKey; // The last key of the last page.
     std::int64_t loadEnd { -1 };
     Millis loadSentAt { 0 };
-    bool callUnderWay { false };
-    bool probeUnderWay { false };
-    Millis notBefore { 0 };
-    Millis gathersUntil { 0 };
-    bool hurried { false };
-    Millis failurePause { 0 };
-    Millis confirmed { 0 };
+    bool callInFlight { false };
+    bool probeInFlight { false };
+    Millis nextReadAt { 0 };
+    Millis batchUntil { 0 };
+    bool lowLatency { false };
+    Millis retryDelay { 0 };
+    Millis confirmedTime { 0 };
 };
 
 } // namespace rattan::instance
--- a/src/instance/term_appender.h
+++ b/src/instance/term_appender.h
@@ -2,7 +2,7 @@
 
 // What the planner of a term appends to one stream.
 //
-//     TermStream stream(Stream::Plans, term, client, store, clock, address, metrics);
+//     TermAppender stream(Stream::Plans, term, client, store, clock, address, metrics);
 //     stream.step(now);                        // in each turn: fences first, then appends
 //     if (stream.fencedAt() > 0) ...           // appends of earlier terms have no effect any more
 //     stream.append(records);                  // one batch at a time
@@ -23,23 +23,23 @@
 
 namespace rattan::instance {
 
-class TermStream {
+class TermAppender {
 public:
-    TermStream(Stream, std::int64_t term, http::AsyncClient&, const StoreProtocol&, const Clock&, std::string storeAddress, Metrics&);
-    TermStream(const TermStream&) = delete;
-    TermStream& operator=(const TermStream&) = delete;
+    TermAppender(Stream, std::int64_t term, http::AsyncClient&, const StoreProtocol&, const Clock&, std::string storeAddress, Metrics&);
+    TermAppender(const TermAppender&) = delete;
+    TermAppender& operator=(const TermAppender&) = delete;
 
     void step(Millis now);
     void append(std::vector<StoreRecord>);
 
-    Millis fencedAt() const { return this->fenced; }
-    bool isIdle() const { return this->waiting.empty(); }
-    bool isLost() const { return this->lost; }
+    Millis fencedAt() const { return this->fenceTime; }
+    bool isIdle() const { return this->pendingRecords.empty(); }
+    bool isLost() const { return this->termLost; }
 
 private:
     void fence();
     void sendBatch();
-    http::Call callFor(const std::vector<StoreRecord>&, std::int64_t number) const;
+    http::Call callFor(const std::vector<StoreRecord>&, std::int64_t sequenceNumber) const;
     void fenceAnswered(AppendStatus);
     void partAnswered(AppendStatus, std::size_t sent);
     std::vector<StoreRecord> nextPart() const;
@@ -51,12 +51,12 @@
     const Clock& clock;
     const std::string address;
     Metrics& metrics;
-    std::vector<StoreRecord> waiting; // Of the batch that is not durable yet.
-    Millis fenced { 0 };
-    std::int64_t nextNumber { 1 };
-    bool callUnderWay { false };
+    std::vector<StoreRecord> pendingRecords; // Of the batch that is not durable yet.
+    Millis fenceTime { 0 };
+    std::int64_t nextSequenceNumber { 1 };
+    bool callInFlight { false };
     Millis retryAt { 0 };
-    bool lost { false };
+    bool termLost { false };
 };
 
 } // namespace rattan::instance
--- a/src/instance/testing/gateway_test.cc
+++ b/src/instance/testing/gateway_test.cc
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr Millis begin = 100000;
-const std::string id = "5c0e7a21d94b36f8";
-const std::string jobKey = "job/" + id;
+constexpr Millis startTime = 100000;
+const std::string testJobId = "5c0e7a21d94b36f8";
+const std::string testJobKey = "job/" + testJobId;
 
 // Bodies are of no interest to the gateway: any but "bad" is a job of one task.
-class PlainProtocol final : public CallerProtocol {
+class FakeCallerProtocol final : public CallerProtocol {
 public:
     CallerRequest parseRequest(const http::Request&) const override { return {}; }
     Result<tasks::Job> parseJob(const std::string& body) const override
@@ -37,31 +37,31 @@
 
 class GatewayTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(GatewayTest);
-    CPPUNIT_TEST(aJobIsAcceptedOnceItIsDurable);
-    CPPUNIT_TEST(aRepeatChangesNothing);
-    CPPUNIT_TEST(aLostAnswerOfTheStoreIsNoRefusal);
-    CPPUNIT_TEST(aRecordReadBackCountsAsDurable);
-    CPPUNIT_TEST(noRefusalWhileAnEarlierTryMayStillArrive);
-    CPPUNIT_TEST(noRejectionByTheConfigurationWhileAnEarlierTryMayStillArrive);
-    CPPUNIT_TEST(noRejectionWhileAnotherTryWaitsForTheSameRecord);
-    CPPUNIT_TEST(noRejectionUntilALateAppendWouldHaveBeenRead);
-    CPPUNIT_TEST(whatThisInstanceStoredIsKnownBeforeItIsReadBack);
-    CPPUNIT_TEST(aStoreOutOfReachIsToldAtOnce);
-    CPPUNIT_TEST(withdrawnKeysStopWorkingWhenTheConfigurationIsNotHeardOf);
-    CPPUNIT_TEST(whatAnOldConfigurationLacksIsAskedForElsewhere);
-    CPPUNIT_TEST(unknownJobsAreLookedForBeforeTheyAreDenied);
-    CPPUNIT_TEST(cancelsAreDurable);
-    CPPUNIT_TEST(strangeRequestsAreTurnedAway);
+    CPPUNIT_TEST(jobIsAcceptedOnlyAfterItsRecordIsStored);
+    CPPUNIT_TEST(repeatedSubmitAppendsOneRecord);
+    CPPUNIT_TEST(lostAppendResponseYieldsUnknownOutcome);
+    CPPUNIT_TEST(recordReadBackCountsAsStored);
+    CPPUNIT_TEST(retryIsNotRefusedWhileEarlierAppendIsUnresolved);
+    CPPUNIT_TEST(staleConfigurationDoesNotRefuseUnresolvedJob);
+    CPPUNIT_TEST(timeoutDoesNotRefuseWhileSameRecordIsPending);
+    CPPUNIT_TEST(unresolvedAppendIsKeptUntilJobsAreReadAgain);
+    CPPUNIT_TEST(storedRecordIsKnownBeforeItIsReadBack);
+    CPPUNIT_TEST(unreachableStoreIsRefusedImmediately);
+    CPPUNIT_TEST(revokedKeysExpireWithoutConfigurationReads);
+    CPPUNIT_TEST(outdatedConfigurationMarksAnswerForForwarding);
+    CPPUNIT_TEST(unknownJobIsDeniedOnlyAfterNewRead);
+    CPPUNIT_TEST(cancelIsConfirmedOnlyAfterItsRecordIsStored);
+    CPPUNIT_TEST(invalidRequestsAreRejected);
     CPPUNIT_TEST(waitingRequestsAreBounded);
-    CPPUNIT_TEST(appendsAreBounded);
-    CPPUNIT_TEST(recordsThatAreNotReadBackAreBounded);
-    CPPUNIT_TEST(aVersionOfTheConfigurationNeverGoesBack);
-    CPPUNIT_TEST(nothingIsDecidedByAnOlderConfigurationThanAnotherInstanceUsed);
-    CPPUNIT_TEST(theEndOfARunningJobIsAwaited);
-    CPPUNIT_TEST(aJobThatGoesOnIsToldSoSoon);
-    CPPUNIT_TEST(noEndIsAwaitedWithoutTheStore);
-    CPPUNIT_TEST(whateverIsAskedAroundAStopIsAnsweredBeforeIt);
-    CPPUNIT_TEST(noJobIsDeniedToWhoCancelsItWhileItsAppendMayArrive);
+    CPPUNIT_TEST(appendBatchesAreBounded);
+    CPPUNIT_TEST(unreadRecordsAreBounded);
+    CPPUNIT_TEST(configurationVersionNeverDecreases);
+    CPPUNIT_TEST(configurationOlderThanOnPeersIsNotUsed);
+    CPPUNIT_TEST(stateRequestWaitsForEndOfRunningJob);
+    CPPUNIT_TEST(stateRequestReportsRunningAfterWait);
+    CPPUNIT_TEST(stateRequestDoesNotWaitWithoutStore);
+    CPPUNIT_TEST(requestsAreAnsweredBeforeShutdown);
+    CPPUNIT_TEST(cancelIsNotDeniedWhileSubmitIsUnresolved);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -69,173 +69,173 @@
     {
         this->table = JobTable();
         this->offset = 0;
-        this->gateway.emplace(GatewayOptions { .mostWaiting = 3, .mostUnread = 2 }, this->protocol, this->table);
-        this->gateway->configurationRead(this->text(1, "key"));
-        this->hear(begin);
+        this->gateway.emplace(GatewayOptions { .maxWaitingRequests = 3, .maxUnreadRecords = 2 }, this->protocol, this->table);
+        this->gateway->configurationUpdated(this->catalogWith(1, "key"));
+        this->confirmReads(startTime);
     }
 
-    void aJobIsAcceptedOnceItIsDurable()
+    void jobIsAcceptedOnlyAfterItsRecordIsStored()
     {
-        this->ask(1, RequestKind::Submit, begin);
+        this->request(1, RequestKind::Submit, startTime);
         const auto records = this->gateway->takeRecords(100, 1 << 20);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, records.size());
-        CPPUNIT_ASSERT_EQUAL(jobKey, records[0].key);
+        CPPUNIT_ASSERT_EQUAL(testJobKey, records[0].key);
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
-        this->gateway->appended({ jobKey }, AppendStatus::Appended, begin + 5);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::Appended, startTime + 5);
         this->expect(1, Outcome::Accepted);
     }
 
-    void aRepeatChangesNothing()
+    void repeatedSubmitAppendsOneRecord()
     {
-        this->ask(1, RequestKind::Submit, begin);
+        this->request(1, RequestKind::Submit, startTime);
         this->gateway->takeRecords(100, 1 << 20);
-        this->ask(2, RequestKind::Submit, begin + 1); // While the first is under way.
+        this->request(2, RequestKind::Submit, startTime + 1); // While the first is under way.
         CPPUNIT_ASSERT(this->gateway->takeRecords(100, 1 << 20).empty());
-        this->gateway->appended({ jobKey }, AppendStatus::Appended, begin + 5);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::Appended, startTime + 5);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, this->gateway->takeAnswers().size());
-        this->readBack();
-        this->ask(3, RequestKind::Submit, begin + 10); // Seconds after.
+        this->applyJobRecord();
+        this->request(3, RequestKind::Submit, startTime + 10); // Seconds after.
         this->expect(3, Outcome::Accepted);
         CPPUNIT_ASSERT(this->gateway->takeRecords(100, 1 << 20).empty());
     }
 
     // The store has stored the job and its answer is lost. A caller who is told "not
     // run" books elsewhere, and pays for two carriages.
-    void aLostAnswerOfTheStoreIsNoRefusal()
+    void lostAppendResponseYieldsUnknownOutcome()
     {
-        this->ask(1, RequestKind::Submit, begin);
+        this->request(1, RequestKind::Submit, startTime);
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->appended({ jobKey }, AppendStatus::Unknown, begin + 700);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::Unknown, startTime + 700);
         this->expect(1, Outcome::Unknown);
     }
 
     // A caller cancelled a job whose outcome was unknown, heard that there is none, and the
     // append was carried out after that: the job ran although its cancelling was answered.
-    void noJobIsDeniedToWhoCancelsItWhileItsAppendMayArrive()
+    void cancelIsNotDeniedWhileSubmitIsUnresolved()
     {
-        this->ask(1, RequestKind::Submit, begin);
+        this->request(1, RequestKind::Submit, startTime);
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->appended({ jobKey }, AppendStatus::Unknown, begin + 700);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::Unknown, startTime + 700);
         this->expect(1, Outcome::Unknown);
-        this->ask(2, RequestKind::Cancel, begin + 800);
-        this->hear(begin + 900);
+        this->request(2, RequestKind::Cancel, startTime + 800);
+        this->confirmReads(startTime + 900);
         this->expect(2, Outcome::Unknown);
         // Without the store it would be passed on, and denied there.
-        this->ask(4, RequestKind::Cancel, begin + 2500);
+        this->request(4, RequestKind::Cancel, startTime + 2500);
         this->expect(4, Outcome::Unknown);
         // There surely is no other one.
-        this->ask(3, RequestKind::Cancel, begin + 2500, "/p/0000000000000001");
+        this->request(3, RequestKind::Cancel, startTime + 2500, "/p/0000000000000001");
         this->expect(3, Outcome::NotNow);
-        this->hear(begin + 2600);
-        this->ask(3, RequestKind::Cancel, begin + 2600, "/p/0000000000000001");
-        this->hear(begin + 2601);
+        this->confirmReads(startTime + 2600);
+        this->request(3, RequestKind::Cancel, startTime + 2600, "/p/0000000000000001");
+        this->confirmReads(startTime + 2601);
         this->expect(3, Outcome::NoSuchJob);
     }
 
-    void aRecordReadBackCountsAsDurable()
+    void recordReadBackCountsAsStored()
     {
-        this->ask(1, RequestKind::Submit, begin);
+        this->request(1, RequestKind::Submit, startTime);
         this->gateway->takeRecords(100, 1 << 20);
-        this->readBack();
-        this->gateway->jobChanged(id, begin + 20);
+        this->applyJobRecord();
+        this->gateway->jobChanged(testJobId, startTime + 20);
         this->expect(1, Outcome::Accepted);
     }
 
     // A first try may still be carried out by the store, seconds later. A second one
     // that is refused must not be told that the job never runs.
-    void noRefusalWhileAnEarlierTryMayStillArrive()
+    void retryIsNotRefusedWhileEarlierAppendIsUnresolved()
     {
-        this->ask(1, RequestKind::Submit, begin);
+        this->request(1, RequestKind::Submit, startTime);
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->appended({ jobKey }, AppendStatus::Unknown, begin + 700);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::Unknown, startTime + 700);
         this->expect(1, Outcome::Unknown);
-        this->ask(2, RequestKind::Submit, begin + 1000);
+        this->request(2, RequestKind::Submit, startTime + 1000);
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->appended({ jobKey }, AppendStatus::NotDone, begin + 1010);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::NotDone, startTime + 1010);
         this->expect(2, Outcome::Unknown);
         // Another job was never tried, and is refused in so many words.
-        this->ask(3, RequestKind::Submit, begin + 1100, "/p/0000000000000001");
+        this->request(3, RequestKind::Submit, startTime + 1100, "/p/0000000000000001");
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->appended({ "job/0000000000000001" }, AppendStatus::NotDone, begin + 1110);
+        this->gateway->appendCompleted({ "job/0000000000000001" }, AppendStatus::NotDone, startTime + 1110);
         this->expect(3, Outcome::NotNow);
     }
 
     // A job whose first try was under way was told "never runs" for a configuration that
     // had yet to be read.
-    void noRejectionByTheConfigurationWhileAnEarlierTryMayStillArrive()
+    void staleConfigurationDoesNotRefuseUnresolvedJob()
     {
-        this->ask(1, RequestKind::Submit, begin);
+        this->request(1, RequestKind::Submit, startTime);
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->configurationUsedElsewhere(2);
-        this->ask(2, RequestKind::Submit, begin + 10);
+        this->gateway->requireConfigurationVersion(2);
+        this->request(2, RequestKind::Submit, startTime + 10);
         this->expect(2, Outcome::Unknown);
-        this->gateway->configurationRead(this->text(2, "key"));
-        this->ask(3, RequestKind::Submit, begin + 4001);
+        this->gateway->configurationUpdated(this->catalogWith(2, "key"));
+        this->request(3, RequestKind::Submit, startTime + 4001);
         this->expect(3, Outcome::Unknown);
-        this->ask(4, RequestKind::Submit, begin + 4001, "/p/0000000000000001"); // Never tried.
+        this->request(4, RequestKind::Submit, startTime + 4001, "/p/0000000000000001"); // Never tried.
         this->expect(4, Outcome::NotNow);
     }
 
     // Two tries came at the same time; one was told "never runs", the other one's record
     // was stored.
-    void noRejectionWhileAnotherTryWaitsForTheSameRecord()
+    void timeoutDoesNotRefuseWhileSameRecordIsPending()
     {
-        this->ask(1, RequestKind::Submit, begin);
-        this->gateway->ask(2, { .kind = RequestKind::Submit, .host = "h", .path = "/p/" + id, .key = "key", .patience = 400, .body = "job" }, begin, begin);
-        this->gateway->step(begin + 100);
+        this->request(1, RequestKind::Submit, startTime);
+        this->gateway->handleRequest(2, { .kind = RequestKind::Submit, .host = "h", .path = "/p/" + testJobId, .apiKey = "key", .timeout = 400, .body = "job" }, startTime, startTime);
+        this->gateway->step(startTime + 100);
         this->expect(2, Outcome::Unknown);
-        this->ask(3, RequestKind::Submit, begin + 1500); // The store is out of reach by then.
+        this->request(3, RequestKind::Submit, startTime + 1500); // The store is out of reach by then.
         this->expect(3, Outcome::Unknown);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, this->gateway->takeRecords(100, 1 << 20).size());
-        this->ask(4, RequestKind::Submit, begin + 1);
-        this->gateway->appended({ jobKey }, AppendStatus::NotDone, begin + 1600);
+        this->request(4, RequestKind::Submit, startTime + 1);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::NotDone, startTime + 1600);
         for (const GatewayAnswer& answer : this->gateway->takeAnswers())
             CPPUNIT_ASSERT(answer.answer.outcome == Outcome::NotNow); // Nobody waits any more.
     }
 
     // An append without an answer was carried out, and the log could not be read until the
     // append was forgotten: the next try was told that the stored job never runs.
-    void noRejectionUntilALateAppendWouldHaveBeenRead()
+    void unresolvedAppendIsKeptUntilJobsAreReadAgain()
     {
-        this->ask(1, RequestKind::Submit, begin);
+        this->request(1, RequestKind::Submit, startTime);
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->appended({ jobKey }, AppendStatus::Unknown, begin + 700);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::Unknown, startTime + 700);
         this->expect(1, Outcome::Unknown);
-        this->gateway->step(begin + 20000);
-        this->ask(2, RequestKind::Submit, begin + 20000);
+        this->gateway->step(startTime + 20000);
+        this->request(2, RequestKind::Submit, startTime + 20000);
         this->expect(2, Outcome::Unknown);
-        this->hear(begin + 20010);
-        this->gateway->step(begin + 20020);
-        this->ask(3, RequestKind::Submit, begin + 30000);
+        this->confirmReads(startTime + 20010);
+        this->gateway->step(startTime + 20020);
+        this->request(3, RequestKind::Submit, startTime + 30000);
         this->expect(3, Outcome::NotNow);
     }
 
     // A repeat of an accepted submit came before the record was read back, and was told that
     // the job never runs.
-    void whatThisInstanceStoredIsKnownBeforeItIsReadBack()
+    void storedRecordIsKnownBeforeItIsReadBack()
     {
-        this->ask(1, RequestKind::Submit, begin);
+        this->request(1, RequestKind::Submit, startTime);
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->appended({ jobKey }, AppendStatus::Appended, begin + 5);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::Appended, startTime + 5);
         this->expect(1, Outcome::Accepted);
-        this->ask(2, RequestKind::Submit, begin + 100);
+        this->request(2, RequestKind::Submit, startTime + 100);
         this->expect(2, Outcome::Accepted);
-        this->gateway->configurationUsedElsewhere(2);
-        this->ask(3, RequestKind::Submit, begin + 5000);
+        this->gateway->requireConfigurationVersion(2);
+        this->request(3, RequestKind::Submit, startTime + 5000);
         this->expect(3, Outcome::Unknown);
-        this->gateway->configurationRead(this->text(2, "key"));
-        this->readBack();
-        this->hear(begin + 5000);
-        this->gateway->step(begin + 5001);
-        this->ask(4, RequestKind::Submit, begin + 5002);
+        this->gateway->configurationUpdated(this->catalogWith(2, "key"));
+        this->applyJobRecord();
+        this->confirmReads(startTime + 5000);
+        this->gateway->step(startTime + 5001);
+        this->request(4, RequestKind::Submit, startTime + 5002);
         this->expect(4, Outcome::Accepted);
-        this->ask(5, RequestKind::Submit, begin + 10000); // The configuration is unknown by then.
+        this->request(5, RequestKind::Submit, startTime + 10000); // The configuration is unknown by then.
         this->expect(5, Outcome::Unknown);
     }
 
-    void aStoreOutOfReachIsToldAtOnce()
+    void unreachableStoreIsRefusedImmediately()
     {
-        this->ask(1, RequestKind::Submit, begin + 1500);
+        this->request(1, RequestKind::Submit, startTime + 1500);
         this->expect(1, Outcome::NotNow);
         CPPUNIT_ASSERT(this->gateway->takeRecords(100, 1 << 20).empty());
     }
@@ -243,110 +243,110 @@
     // The store turns an instance away while operators add a queue and a key. Its callers
     // were told for four seconds that there is neither, and took that for final. Another
     // instance may know better; while the store is in reach, nobody else is asked.
-    void whatAnOldConfigurationLacksIsAskedForElsewhere()
+    void outdatedConfigurationMarksAnswerForForwarding()
     {
-        const auto wantsStore = [this](Millis at, const std::string& path, const std::string& key) {
-            this->ask(1, RequestKind::Submit, at, path, key);
-            return this->gateway->takeAnswers().at(0).answer.wantsStore;
+        const auto givenWithoutStore = [this](Millis at, const std::string& path, const std::string& key) {
+            this->request(1, RequestKind::Submit, at, path, key);
+            return this->gateway->takeAnswers().at(0).answer.givenWithoutStore;
         };
-        const std::string unknownQueue = "/q/" + id;
-        const std::string knownQueue = "/p/" + id;
-        CPPUNIT_ASSERT(!wantsStore(begin + 100, unknownQueue, "key"));
-        CPPUNIT_ASSERT(!wantsStore(begin + 100, knownQueue, "other key"));
-        CPPUNIT_ASSERT(wantsStore(begin + 1500, unknownQueue, "key"));
-        CPPUNIT_ASSERT(wantsStore(begin + 1500, knownQueue, "other key"));
+        const std::string unknownQueue = "/q/" + testJobId;
+        const std::string knownQueue = "/p/" + testJobId;
+        CPPUNIT_ASSERT(!givenWithoutStore(startTime + 100, unknownQueue, "key"));
+        CPPUNIT_ASSERT(!givenWithoutStore(startTime + 100, knownQueue, "other key"));
+        CPPUNIT_ASSERT(givenWithoutStore(startTime + 1500, unknownQueue, "key"));
+        CPPUNIT_ASSERT(givenWithoutStore(startTime + 1500, knownQueue, "other key"));
     }
 
     // An instance is cut off from the store while an operator takes a key away. Its
     // callers would go on with that key for as long as the cut lasts.
-    void withdrawnKeysStopWorkingWhenTheConfigurationIsNotHeardOf()
+    void revokedKeysExpireWithoutConfigurationReads()
     {
-        this->readBack();
-        this->ask(1, RequestKind::State, begin + 3900);
+        this->applyJobRecord();
+        this->request(1, RequestKind::State, startTime + 3900);
         this->expect(1, Outcome::State);
-        this->ask(2, RequestKind::State, begin + 4001);
+        this->request(2, RequestKind::State, startTime + 4001);
         this->expect(2, Outcome::NotNow);
-        CPPUNIT_ASSERT(!this->gateway->ready(begin + 4001));
-        this->gateway->configurationRead(this->text(2, "other"));
-        this->hear(begin + 5000);
-        this->ask(3, RequestKind::State, begin + 5000);
+        CPPUNIT_ASSERT(!this->gateway->isReady(startTime + 4001));
+        this->gateway->configurationUpdated(this->catalogWith(2, "other"));
+        this->confirmReads(startTime + 5000);
+        this->request(3, RequestKind::State, startTime + 5000);
         this->expect(3, Outcome::UnknownKey);
     }
 
-    void unknownJobsAreLookedForBeforeTheyAreDenied()
+    void unknownJobIsDeniedOnlyAfterNewRead()
     {
-        this->ask(1, RequestKind::State, begin + 10);
+        this->request(1, RequestKind::State, startTime + 10);
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
-        CPPUNIT_ASSERT(this->gateway->wantsRead());
-        this->gateway->jobsRead(begin + 9, begin + 12); // Read before the question came.
+        CPPUNIT_ASSERT(this->gateway->needsJobsRead());
+        this->gateway->jobsConfirmed(startTime + 9, startTime + 12); // Read before the question came.
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
-        this->gateway->jobsRead(begin + 11, begin + 15);
+        this->gateway->jobsConfirmed(startTime + 11, startTime + 15);
         this->expect(1, Outcome::NoSuchJob);
     }
 
-    void cancelsAreDurable()
+    void cancelIsConfirmedOnlyAfterItsRecordIsStored()
     {
-        this->readBack();
-        this->ask(1, RequestKind::Cancel, begin + 10);
+        this->applyJobRecord();
+        this->request(1, RequestKind::Cancel, startTime + 10);
         const auto records = this->gateway->takeRecords(100, 1 << 20);
-        CPPUNIT_ASSERT_EQUAL(std::string("cancel/" + id), records.at(0).key);
+        CPPUNIT_ASSERT_EQUAL(std::string("cancel/" + testJobId), records.at(0).key);
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
-        this->gateway->appended({ records.at(0).key }, AppendStatus::Appended, begin + 20);
+        this->gateway->appendCompleted({ records.at(0).key }, AppendStatus::Appended, startTime + 20);
         this->expect(1, Outcome::Cancelled);
-        this->table.apply("cancel/" + id, tasks::encodeCancel(), this->offset++, begin + 21);
-        this->ask(2, RequestKind::State, begin + 30);
+        this->table.apply("cancel/" + testJobId, tasks::encodeCancel(), this->offset++, startTime + 21);
+        this->request(2, RequestKind::State, startTime + 30);
         const auto answers = this->gateway->takeAnswers();
         CPPUNIT_ASSERT(answers.at(0).answer.state == JobState::Cancelled);
     }
 
-    void strangeRequestsAreTurnedAway()
+    void invalidRequestsAreRejected()
     {
-        this->ask(1, RequestKind::Submit, begin, "/nowhere/" + id);
+        this->request(1, RequestKind::Submit, startTime, "/nowhere/" + testJobId);
         this->expect(1, Outcome::NoSuchQueue);
-        this->ask(2, RequestKind::Submit, begin, "/p/short");
+        this->request(2, RequestKind::Submit, startTime, "/p/short");
         this->expect(2, Outcome::Malformed);
-        this->ask(3, RequestKind::Submit, begin, "/p/" + id, "wrong");
+        this->request(3, RequestKind::Submit, startTime, "/p/" + testJobId, "wrong");
         this->expect(3, Outcome::UnknownKey);
-        this->ask(4, RequestKind::Submit, begin, "/p/" + id, "key", "bad");
+        this->request(4, RequestKind::Submit, startTime, "/p/" + testJobId, "key", "bad");
         this->expect(4, Outcome::Malformed);
-        this->ask(5, RequestKind::Other, begin);
+        this->request(5, RequestKind::Other, startTime);
         this->expect(5, Outcome::NoSuchMethod);
-        this->ask(6, RequestKind::State, begin, "/p/");
+        this->request(6, RequestKind::State, startTime, "/p/");
         this->expect(6, Outcome::Pending);
-        this->ask(8, RequestKind::State, begin + 1900, "/p/"); // Jobs may have come meanwhile.
+        this->request(8, RequestKind::State, startTime + 1900, "/p/"); // Jobs may have come meanwhile.
         this->expect(8, Outcome::NotNow);
-        this->ask(7, RequestKind::Submit, begin, "/p/" + id, "key", std::string(2000, 'x'));
+        this->request(7, RequestKind::Submit, startTime, "/p/" + testJobId, "key", std::string(2000, 'x'));
         this->expect(7, Outcome::TooLarge);
     }
 
     void waitingRequestsAreBounded()
     {
         for (int i = 0; i < 3; ++i)
-            this->ask(static_cast<std::uint64_t>(i), RequestKind::Submit, begin, fmt::format("/p/000000000000000{}", i));
+            this->request(static_cast<std::uint64_t>(i), RequestKind::Submit, startTime, fmt::format("/p/000000000000000{}", i));
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
-        this->ask(9, RequestKind::Submit, begin);
+        this->request(9, RequestKind::Submit, startTime);
         this->expect(9, Outcome::NotNow);
     }
 
-    void appendsAreBounded()
+    void appendBatchesAreBounded()
     {
         for (int i = 0; i < 3; ++i)
-            this->ask(static_cast<std::uint64_t>(i), RequestKind::Submit, begin, fmt::format("/p/000000000000000{}", i));
+            this->request(static_cast<std::uint64_t>(i), RequestKind::Submit, startTime, fmt::format("/p/000000000000000{}", i));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, this->gateway->takeRecords(2, 1 << 20).size());
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, this->gateway->takeRecords(2, 1).size());
         CPPUNIT_ASSERT(this->gateway->takeRecords(2, 1).empty());
     }
 
-    void recordsThatAreNotReadBackAreBounded()
+    void unreadRecordsAreBounded()
     {
         for (int i = 0; i < 3; ++i) {
-            this->ask(1, RequestKind::Submit, begin, fmt::format("/p/000000000000000{}", i));
+            this->request(1, RequestKind::Submit, startTime, fmt::format("/p/000000000000000{}", i));
             const auto records = this->gateway->takeRecords(1, 1);
             if (i == 2) {
                 CPPUNIT_ASSERT(records.empty());
                 return this->expect(1, Outcome::NotNow);
             }
-            this->gateway->appended({ records.at(0).key }, AppendStatus::Unknown, begin);
+            this->gateway->appendCompleted({ records.at(0).key }, AppendStatus::Unknown, startTime);
             this->expect(1, Outcome::Unknown);
         }
     }
@@ -354,83 +354,83 @@
     // The instance is cut off, and another one that has heard of a new version of the
     // text has just answered for it. From its own, older text it would tell the next
     // caller that there is no such queue.
-    void nothingIsDecidedByAnOlderConfigurationThanAnotherInstanceUsed()
+    void configurationOlderThanOnPeersIsNotUsed()
     {
-        this->gateway->configurationUsedElsewhere(2);
-        this->ask(1, RequestKind::State, begin, "/nowhere/");
+        this->gateway->requireConfigurationVersion(2);
+        this->request(1, RequestKind::State, startTime, "/nowhere/");
         this->expect(1, Outcome::NotNow);
-        this->gateway->configurationRead(this->text(2, "key"));
-        this->ask(2, RequestKind::State, begin, "/nowhere/");
+        this->gateway->configurationUpdated(this->catalogWith(2, "key"));
+        this->request(2, RequestKind::State, startTime, "/nowhere/");
         this->expect(2, Outcome::NoSuchQueue);
     }
 
     // A caller asks just when its job ends, and the planner's record is some tens of
     // milliseconds behind. Told "running" it comes back after its pause, and what was
     // in time is late for it.
-    void theEndOfARunningJobIsAwaited()
+    void stateRequestWaitsForEndOfRunningJob()
     {
-        this->progress(JobState::Running);
-        this->ask(1, RequestKind::State, begin);
+        this->applyState(JobState::Running);
+        this->request(1, RequestKind::State, startTime);
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
-        this->progress(JobState::Completed);
-        this->gateway->jobChanged(id, begin + 40);
+        this->applyState(JobState::Completed);
+        this->gateway->jobChanged(testJobId, startTime + 40);
         const auto answers = this->gateway->takeAnswers();
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, answers.size());
         CPPUNIT_ASSERT(answers.front().answer.state == JobState::Completed);
-        CPPUNIT_ASSERT_EQUAL(Millis { 40 }, answers.front().waited);
+        CPPUNIT_ASSERT_EQUAL(Millis { 40 }, answers.front().waitTime);
     }
 
-    void aJobThatGoesOnIsToldSoSoon()
+    void stateRequestReportsRunningAfterWait()
     {
-        this->progress(JobState::Running);
-        this->ask(1, RequestKind::State, begin);
-        this->gateway->jobChanged(id, begin + 40); // A task of it ended.
-        this->gateway->step(begin + 199);
+        this->applyState(JobState::Running);
+        this->request(1, RequestKind::State, startTime);
+        this->gateway->jobChanged(testJobId, startTime + 40); // A task of it ended.
+        this->gateway->step(startTime + 199);
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
-        this->gateway->step(begin + 200);
+        this->gateway->step(startTime + 200);
         const auto answers = this->gateway->takeAnswers();
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, answers.size());
         CPPUNIT_ASSERT(answers.front().answer.state == JobState::Running);
     }
 
-    void noEndIsAwaitedWithoutTheStore()
+    void stateRequestDoesNotWaitWithoutStore()
     {
-        this->progress(JobState::Running);
-        this->ask(1, RequestKind::State, begin + 1500);
+        this->applyState(JobState::Running);
+        this->request(1, RequestKind::State, startTime + 1500);
         this->expect(1, Outcome::State);
     }
 
     // The connections close at a stop, and who waited on one of them would not know
     // whether its job was accepted.
-    void whateverIsAskedAroundAStopIsAnsweredBeforeIt()
+    void requestsAreAnsweredBeforeShutdown()
     {
         const std::string other = "0123456789abcdef";
-        this->ask(1, RequestKind::Submit, begin);
+        this->request(1, RequestKind::Submit, startTime);
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->answerEverythingBy(begin + 400);
-        this->ask(2, RequestKind::Submit, begin + 100, "/p/" + other);
-        this->gateway->step(begin + 399);
+        this->gateway->setAnswerDeadline(startTime + 400);
+        this->request(2, RequestKind::Submit, startTime + 100, "/p/" + other);
+        this->gateway->step(startTime + 399);
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
-        this->gateway->step(begin + 400);
+        this->gateway->step(startTime + 400);
         const auto answers = this->gateway->takeAnswers();
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, answers.size());
         CPPUNIT_ASSERT(answers[0].answer.outcome == Outcome::Unknown); // Its append is under way.
         CPPUNIT_ASSERT(answers[1].answer.outcome == Outcome::NotNow);
-        this->ask(3, RequestKind::State, begin + 450, "/p/" + other);
-        this->gateway->step(begin + 450);
+        this->request(3, RequestKind::State, startTime + 450, "/p/" + other);
+        this->gateway->step(startTime + 450);
         this->expect(3, Outcome::NotNow);
         CPPUNIT_ASSERT(this->gateway->takeRecords(100, 1 << 20).empty());
     }
 
-    void aVersionOfTheConfigurationNeverGoesBack()
+    void configurationVersionNeverDecreases()
     {
-        this->gateway->configurationRead(this->text(3, "newer"));
-        this->gateway->configurationRead(this->text(2, "key"));
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 3 }, this->gateway->text().version);
+        this->gateway->configurationUpdated(this->catalogWith(3, "newer"));
+        this->gateway->configurationUpdated(this->catalogWith(2, "key"));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 3 }, this->gateway->configuration().version);
     }
 
 private:
-    std::shared_ptr<const tasks::Catalog> text(std::int64_t version, const std::string& key) const
+    std::shared_ptr<const tasks::Catalog> catalogWith(std::int64_t version, const std::string& key) const
     {
         auto catalog = std::make_shared<tasks::Catalog>();
         catalog->version = version;
@@ -444,15 +444,15 @@
         return catalog;
     }
 
-    void hear(Millis at)
+    void confirmReads(Millis at)
     {
         this->gateway->configurationConfirmed(at);
-        this->gateway->jobsRead(at, at);
+        this->gateway->jobsConfirmed(at, at);
     }
 
-    void ask(std::uint64_t ticket, RequestKind kind, Millis now, const std::string& path = "/p/" + id, const std::string& key = "key", const std::string& body = "job")
+    void request(std::uint64_t ticket, RequestKind kind, Millis now, const std::string& path = "/p/" + testJobId, const std::string& key = "key", const std::string& body = "job")
     {
-        this->gateway->ask(ticket, { .kind = kind, .host = "h", .path = path, .key = key, .patience = 3000, .body = body }, now, now);
+        this->gateway->handleRequest(ticket, { .kind = kind, .host = "h", .path = path, .apiKey = key, .timeout = 3000, .body = body }, now, now);
     }
 
     void expect(std::uint64_t ticket, Outcome outcome)
@@ -463,21 +463,21 @@
         CPPUNIT_ASSERT_EQUAL(std::string(nameOf(outcome)), std::string(nameOf(answers[0].answer.outcome)));
     }
 
-    void progress(JobState state)
+    void applyState(JobState state)
     {
-        this->readBack();
-        this->table.apply("state/" + id, tasks::encodeState(state), this->offset++, begin);
+        this->applyJobRecord();
+        this->table.apply("state/" + testJobId, tasks::encodeState(state), this->offset++, startTime);
     }
 
-    void readBack()
+    void applyJobRecord()
     {
         tasks::Job job;
-        job.id = id;
+        job.id = testJobId;
         job.steps.push_back({});
-        this->table.apply(jobKey, tasks::encodeJob(job), this->offset++, begin);
+        this->table.apply(testJobKey, tasks::encodeJob(job), this->offset++, startTime);
     }
 
-    PlainProtocol protocol;
+    FakeCallerProtocol protocol;
     JobTable table;
     std::int64_t offset { 0 };
     std::optional<Gateway> gateway;
--- a/src/instance/testing/shutdown_schedule_test.cc
+++ b/src/instance/testing/shutdown_schedule_test.cc
@@ -10,33 +10,33 @@
 
 namespace {
 
-class StopPlanTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(StopPlanTest);
-    CPPUNIT_TEST(theUsualGraceCutsNoAnswerShort);
-    CPPUNIT_TEST(aStopEndsWithinItsGrace);
+class ShutdownScheduleTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(ShutdownScheduleTest);
+    CPPUNIT_TEST(defaultGraceCoversSlowestAnswer);
+    CPPUNIT_TEST(shutdownEndsWithinGrace);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // A request came just before the last connection was let in, and its answer takes as
     // long as one may: its connection was closed before.
-    void theUsualGraceCutsNoAnswerShort()
+    void defaultGraceCoversSlowestAnswer()
     {
-        const StopPlan plan = planStop(InstanceSettings {}.grace);
-        CPPUNIT_ASSERT(plan.answeredAt >= plan.noticedAt + GatewayOptions {}.longestAnswer);
+        const ShutdownSchedule schedule = scheduleShutdown(InstanceSettings {}.grace);
+        CPPUNIT_ASSERT(schedule.answerDeadline >= schedule.acceptUntil + GatewayOptions {}.maxAnswerTime);
     }
 
     // The process would be killed with answers still in its sockets.
-    void aStopEndsWithinItsGrace()
+    void shutdownEndsWithinGrace()
     {
         for (Millis grace = 0; grace <= 60000; grace += 50) {
-            const StopPlan plan = planStop(grace);
-            CPPUNIT_ASSERT(0 <= plan.noticedAt && plan.noticedAt <= plan.answeredAt);
-            CPPUNIT_ASSERT(plan.answeredAt <= plan.closedAt && plan.closedAt <= grace);
-            CPPUNIT_ASSERT(grace < 1000 || (plan.closedAt <= grace - 500 && plan.answeredAt < plan.closedAt));
+            const ShutdownSchedule schedule = scheduleShutdown(grace);
+            CPPUNIT_ASSERT(0 <= schedule.acceptUntil && schedule.acceptUntil <= schedule.answerDeadline);
+            CPPUNIT_ASSERT(schedule.answerDeadline <= schedule.closeDeadline && schedule.closeDeadline <= grace);
+            CPPUNIT_ASSERT(grace < 1000 || (schedule.closeDeadline <= grace - 500 && schedule.answerDeadline < schedule.closeDeadline));
         }
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StopPlanTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ShutdownScheduleTest);
 
 } // namespace
--- a/src/instance/testing/stream_reader_test.cc
+++ b/src/instance/testing/stream_reader_test.cc
@@ -14,9 +14,9 @@
 using namespace std::chrono_literals;
 
 // A stream without records, whose reads name how long they wait.
-class PlainStore final : public StoreProtocol {
+class FakeStoreProtocol final : public StoreProtocol {
 public:
-    http::Call append(Stream, const std::vector<StoreRecord>&, const AppendTerms&) const override { return {}; }
+    http::Call append(Stream, const std::vector<StoreRecord>&, const AppendConditions&) const override { return {}; }
     AppendReply parseAppend(const http::Reply&) const override { return {}; }
     http::Call read(Stream, std::int64_t, Millis wait) const override { return { .path = wait > 0 ? "/waiting" : "/now" }; }
     Result<ReadReply> parseRead(const http::Reply& reply, std::int64_t) const override
@@ -31,35 +31,35 @@
 
 class StreamReaderTest : public CppUnit::TestFixture, public StreamHandler {
     CPPUNIT_TEST_SUITE(StreamReaderTest);
-    CPPUNIT_TEST(theFirstReadAfterAFailureDoesNotWait);
+    CPPUNIT_TEST(firstReadAfterFailureDoesNotWait);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // The store is away for some seconds. What an instance believes only for a while,
     // such as callers' keys, counts as unknown until a read confirms it; one that waits
     // for records would confirm it more than a second after the store is back.
-    void theFirstReadAfterAFailureDoesNotWait()
+    void firstReadAfterFailureDoesNotWait()
     {
         http::Server server({ .address = "127.0.0.1:0" });
         server.fallback([this](const http::Request& request) {
             if (request.path == "/waiting")
-                ++this->waiting;
+                ++this->waitingReads;
             if (request.path == "/now")
-                ++this->immediate;
-            return http::Answer { this->away ? 503 : 200, "", "text/plain", {} };
+                ++this->immediateReads;
+            return http::Answer { this->storeUnavailable ? 503 : 200, "", "text/plain", {} };
         });
         CPPUNIT_ASSERT(!attemptVoid([&] { return server.start(); }));
         http::AsyncClient client({}, this->clock);
         StreamReader reader(client, this->store, this->clock, { .stream = Stream::Configuration, .address = server.address() }, *this);
-        this->runUntil(reader, client, [&] { return this->waiting > 0; });
-        CPPUNIT_ASSERT_EQUAL(0, this->immediate.load());
-        this->away = true;
+        this->runUntil(reader, client, [&] { return this->waitingReads > 0; });
+        CPPUNIT_ASSERT_EQUAL(0, this->immediateReads.load());
+        this->storeUnavailable = true;
         this->runUntil(reader, client, [&] { return this->failures > 0; });
-        this->away = false;
-        const int before = this->immediate;
-        const Millis confirmed = reader.confirmedAt();
-        this->runUntil(reader, client, [&] { return reader.confirmedAt() > confirmed; });
-        CPPUNIT_ASSERT(this->immediate > before);
+        this->storeUnavailable = false;
+        const int immediateReadsBefore = this->immediateReads;
+        const Millis confirmedBefore = reader.confirmedAt();
+        this->runUntil(reader, client, [&] { return reader.confirmedAt() > confirmedBefore; });
+        CPPUNIT_ASSERT(this->immediateReads > immediateReadsBefore);
     }
 
     void recordRead(Stream, const StoreRecord&, Millis) override { }
@@ -68,22 +68,22 @@
     void streamFailed(Stream, const std::string&, Millis) override { ++this->failures; }
 
 private:
-    template <typename Done>
-    void runUntil(StreamReader& reader, http::AsyncClient& client, Done done)
+    template <typename Condition>
+    void runUntil(StreamReader& reader, http::AsyncClient& client, Condition condition)
     {
-        constexpr int mostRuns = 5000;
-        for (int i = 0; i < mostRuns && !done(); ++i) {
+        constexpr int maxIterations = 5000;
+        for (int i = 0; i < maxIterations && !condition(); ++i) {
             reader.step(this->clock.now());
             client.run(5ms);
         }
-        CPPUNIT_ASSERT(done());
+        CPPUNIT_ASSERT(condition());
     }
 
-    PlainStore store;
+    FakeStoreProtocol store;
     SystemClock clock;
-    std::atomic<bool> away { false };
-    std::atomic<int> waiting { 0 };
-    std::atomic<int> immediate { 0 };
+    std::atomic<bool> storeUnavailable { false };
+    std::atomic<int> waitingReads { 0 };
+    std::atomic<int> immediateReads { 0 };
     int failures { 0 };
 };
 
--- a/src/instance/testing/term_appender_test.cc
+++ b/src/instance/testing/term_appender_test.cc
@@ -13,9 +13,9 @@
 using namespace std::chrono_literals;
 
 // Appends carry the values of their records as they are.
-class PlainStore final : public StoreProtocol {
+class FakeStoreProtocol final : public StoreProtocol {
 public:
-    http::Call append(Stream, const std::vector<StoreRecord>& records, const AppendTerms&) const override
+    http::Call append(Stream, const std::vector<StoreRecord>& records, const AppendConditions&) const override
     {
         http::Call call { .method = "POST", .path = "/append" };
         for (const StoreRecord& record : records)
@@ -29,20 +29,20 @@
     Result<NewestPage> parseNewest(const http::Reply&) const override { return NewestPage {}; }
 };
 
-class TermStreamTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(TermStreamTest);
-    CPPUNIT_TEST(aBatchThatIsLargerThanTheStoreTakesGoesInParts);
+class TermAppenderTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(TermAppenderTest);
+    CPPUNIT_TEST(oversizedBatchIsSplit);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Guards against a planner that starts nothing any more, since the store refuses the same
     // batch of records again and again.
-    void aBatchThatIsLargerThanTheStoreTakesGoesInParts()
+    void oversizedBatchIsSplit()
     {
-        constexpr std::size_t mostTaken = 2 << 20;
+        constexpr std::size_t maxBodyBytes = 2 << 20;
         http::Server server({ .address = "127.0.0.1:0", .bodyLimit = 64 << 20 });
         server.fallback([this](const http::Request& request) {
-            if (request.body.size() > mostTaken)
+            if (request.body.size() > maxBodyBytes)
                 return http::Answer { 413, "", "text/plain", {} };
             const std::scoped_lock lock(this->mutex);
             this->stored += request.body;
@@ -51,7 +51,7 @@
         CPPUNIT_ASSERT(!attemptVoid([&] { return server.start(); }));
         http::AsyncClient client({}, this->clock);
         Metrics metrics;
-        TermStream stream(Stream::Plans, 1, client, this->store, this->clock, server.address(), metrics);
+        TermAppender appender(Stream::Plans, 1, client, this->store, this->clock, server.address(), metrics);
         std::vector<StoreRecord> records;
         std::string all;
         constexpr char first = 'a';
@@ -59,25 +59,25 @@
             records.push_back({ std::to_string(i), std::string(150'000, static_cast<char>(first + i)), 0 });
             all += records.back().value;
         }
-        stream.append(records);
-        constexpr int mostTurns = 400;
-        for (int i = 0; i < mostTurns && !stream.isIdle(); ++i) {
-            stream.step(this->clock.now());
+        appender.append(records);
+        constexpr int maxIterations = 400;
+        for (int i = 0; i < maxIterations && !appender.isIdle(); ++i) {
+            appender.step(this->clock.now());
             client.run(5ms);
         }
-        CPPUNIT_ASSERT(stream.isIdle());
-        CPPUNIT_ASSERT(!stream.isLost());
+        CPPUNIT_ASSERT(appender.isIdle());
+        CPPUNIT_ASSERT(!appender.isLost());
         const std::scoped_lock lock(this->mutex);
         CPPUNIT_ASSERT(this->stored == all);
     }
 
 private:
-    PlainStore store;
+    FakeStoreProtocol store;
     SystemClock clock;
     std::mutex mutex;
     std::string stored;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TermStreamTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(TermAppenderTest);
 
 } // namespace
--- a/src/instance/traffic_report.cc
+++ b/src/instance/traffic_report.cc
@@ -10,10 +10,10 @@
 
 namespace {
 
-    constexpr Millis logEvery = 5000;
-    constexpr std::size_t mostPurposesLogged = 4;
+    constexpr Millis logInterval = 5000;
+    constexpr std::size_t maxPurposesLogged = 4;
 
-    struct Moved {
+    struct PurposeTraffic {
         std::string_view purpose;
         http::Traffic traffic;
 
@@ -29,34 +29,34 @@
 
 void TrafficReport::publish(const std::map<std::string_view, http::Traffic>& traffic, Millis now)
 {
-    for (const auto& [purpose, sum] : traffic) {
+    for (const auto& [purpose, total] : traffic) {
         const std::string label(purpose);
-        this->metrics.set("rattan_calls", { { "purpose", label } }, static_cast<double>(sum.calls));
-        this->metrics.set("rattan_call_connections", { { "purpose", label } }, static_cast<double>(sum.connections));
-        this->metrics.set("rattan_call_bytes", { { "purpose", label }, { "way", "sent" } }, static_cast<double>(sum.bytesSent));
-        this->metrics.set("rattan_call_bytes", { { "purpose", label }, { "way", "received" } }, static_cast<double>(sum.bytesReceived));
+        this->metrics.set("rattan_calls", { { "purpose", label } }, static_cast<double>(total.calls));
+        this->metrics.set("rattan_call_connections", { { "purpose", label } }, static_cast<double>(total.connections));
+        this->metrics.set("rattan_call_bytes", { { "purpose", label }, { "way", "sent" } }, static_cast<double>(total.bytesSent));
+        this->metrics.set("rattan_call_bytes", { { "purpose", label }, { "way", "received" } }, static_cast<double>(total.bytesReceived));
     }
-    if (this->loggedAt == 0)
-        this->loggedAt = now;
-    if (now < this->loggedAt + logEvery)
+    if (this->lastLoggedAt == 0)
+        this->lastLoggedAt = now;
+    if (now < this->lastLoggedAt + logInterval)
         return;
-    this->log(traffic, this->loggedAt, now);
-    this->loggedAt = now;
+    this->log(traffic, this->lastLoggedAt, now);
+    this->lastLoggedAt = now;
 }
 
 void TrafficReport::log(const std::map<std::string_view, http::Traffic>& traffic, Millis since, Millis now)
 {
-    std::vector<Moved> moved;
-    for (const auto& [purpose, sum] : traffic) {
-        const http::Traffic fresh = difference(sum, this->logged[purpose]);
-        if (fresh.calls > 0)
-            moved.push_back({ purpose, fresh });
+    std::vector<PurposeTraffic> trafficByPurpose;
+    for (const auto& [purpose, total] : traffic) {
+        const http::Traffic sinceLastLog = difference(total, this->lastLogged[purpose]);
+        if (sinceLastLog.calls > 0)
+            trafficByPurpose.push_back({ purpose, sinceLastLog });
     }
-    this->logged = traffic;
-    std::sort(moved.begin(), moved.end(), [](const Moved& a, const Moved& b) { return a.bytes() > b.bytes(); });
-    moved.resize(std::min(moved.size(), mostPurposesLogged));
-    for (const Moved& row : moved)
-        logEvent(events::traffic, { { "purpose", row.purpose }, { "over_ms", now - since }, { "calls", row.traffic.calls }, { "connections", row.traffic.connections }, { "bytes_sent", row.traffic.bytesSent }, { "bytes_received", row.traffic.bytesReceived } });
+    this->lastLogged = traffic;
+    std::sort(trafficByPurpose.begin(), trafficByPurpose.end(), [](const PurposeTraffic& a, const PurposeTraffic& b) { return a.bytes() > b.bytes(); });
+    trafficByPurpose.resize(std::min(trafficByPurpose.size(), maxPurposesLogged));
+    for (const PurposeTraffic& entry : trafficByPurpose)
+        logEvent(events::traffic, { { "purpose", entry.purpose }, { "over_ms", now - since }, { "calls", entry.traffic.calls }, { "connections", entry.traffic.connections }, { "bytes_sent", entry.traffic.bytesSent }, { "bytes_received", entry.traffic.bytesReceived } });
 }
 
 } // namespace rattan::instance
--- a/src/instance/traffic_report.h
+++ b/src/instance/traffic_report.h
@@ -30,8 +30,8 @@
     void log(const std::map<std::string_view, http::Traffic>&, Millis since, Millis now);
 
     Metrics& metrics;
-    std::map<std::string_view, http::Traffic> logged; // As of the last line.
-    Millis loggedAt { 0 };
+    std::map<std::string_view, http::Traffic> lastLogged; // As of the last line.
+    Millis lastLoggedAt { 0 };
 };
 
 } // namespace rattan::instance
--- a/src/instance/worker_clocks.h
+++ b/src/instance/worker_clocks.h
@@ -13,16 +13,16 @@
 
 class WorkerClocks {
 public:
-    void heard(const tasks::Incarnation& incarnation, Millis clock, Millis now) { this->readings[incarnation] = { clock, now }; }
+    void update(const tasks::Incarnation& incarnation, Millis clock, Millis now) { this->readings[incarnation] = { clock, now }; }
 
     // At least what the worker's clock shows now, but for the time its last answer
     // took to arrive; empty if it never answered.
-    std::optional<Millis> show(const tasks::Incarnation& incarnation, Millis now) const
+    std::optional<Millis> estimate(const tasks::Incarnation& incarnation, Millis now) const
     {
         const auto found = this->readings.find(incarnation);
         if (found == this->readings.end())
             return std::nullopt;
-        return found->second.clock + (now - found->second.at);
+        return found->second.clock + (now - found->second.receivedAt);
     }
 
     void forget(const tasks::Incarnation& incarnation) { this->readings.erase(incarnation); }
@@ -30,7 +30,7 @@
 private:
     struct Reading {
         Millis clock { 0 };
-        Millis at { 0 };
+        Millis receivedAt { 0 };
     };
 
     std::map<tasks::Incarnation, Reading> readings;
