--- a/src/bin/rattan_instance.cc
+++ b/src/bin/rattan_instance.cc
@@ -1,5 +1,5 @@
-// rattan-instance: serves callers and plans on the platform. See
-// src/instance/program.h; settings come from the file that the platform names.
+// rattan-instance: serves callers and plans on the platform. See src/instance/program.h. The
+// platform provides the path of the settings file.
 
 #include "base/settings.h"
 #include "instance/program.h"
@@ -33,8 +33,8 @@
     std::string toCheck;
     try {
         TCLAP::CmdLine command("Serves callers and plans on the platform.", ' ', RATTAN_VERSION);
-        TCLAP::ValueArg<std::string> settingsArg("s", "settings", "Settings file; else the one that the platform names.", false, path, "FILE", command);
-        TCLAP::ValueArg<std::string> checkArg("c", "check-settings", "Checks this settings file and ends.", false, "", "FILE", command);
+        TCLAP::ValueArg<std::string> settingsArg("s", "settings", "Settings file; defaults to the path that the platform provides.", false, path, "FILE", command);
+        TCLAP::ValueArg<std::string> checkArg("c", "check-settings", "Checks this settings file and exits.", false, "", "FILE", command);
         command.parse(argc, argv);
         path = settingsArg.getValue();
         toCheck = checkArg.getValue();
