--- a/src/instance/caller_protocol.h
+++ b/src/instance/caller_protocol.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// How callers speak to an instance. Implemented where the platform's names are
-// known; the gateway decides on what is asked in the types of this file.
+// The protocol between callers and an instance. Implemented in platform/, which knows the names
+// on the wire; the gateway uses only the types of this file.
 
 #include "http/answer.h"
 #include "http/client.h"
@@ -18,23 +18,23 @@
     Submit,
     State,
     Cancel,
-    Other, // A method that means nothing here.
+    Other, // An unsupported method.
 };
 
 struct CallerRequest {
     RequestKind kind { RequestKind::Other };
     std::string host;
     std::string path;
-    std::string apiKey; // Empty: none was sent.
-    Millis timeout { 0 }; // How long the caller waits; 0: not told.
+    std::string apiKey; // Empty if none was sent.
+    Millis timeout { 0 }; // How long the caller waits; 0 if unknown.
     std::string body;
-    bool forwarded { false }; // Another instance passed it on.
+    bool forwarded { false }; // Whether another instance forwarded it.
 };
 
 enum class Outcome {
-    Accepted, // And stored.
+    Accepted, // The job is stored.
     State,
-    Cancelled, // And stored.
+    Cancelled, // The cancel is stored.
     Pending,
     NoSuchQueue,
     NoSuchJob,
@@ -42,8 +42,8 @@
     Malformed,
     TooLarge,
     NoSuchMethod,
-    NotNow, // Nothing was done and nothing will be; another time or instance may do.
-    Unknown, // It may have been done, or may be later.
+    NotNow, // Nothing was done and nothing will be done; a retry later or at another instance may succeed.
+    Unknown, // The request may have been executed, or may be executed later.
 };
 
 std::string_view nameOf(Outcome);
@@ -53,9 +53,9 @@
     tasks::JobState state { tasks::JobState::Queued };
     std::int64_t pending { 0 };
     Millis retryAfter { 0 };
-    std::string message; // For people.
-    std::int64_t configurationVersion { 0 }; // Of the text it rests on, for the instance that passed the request on; 0: not told.
-    bool givenWithoutStore { false }; // Given for want of the store: an instance that reaches it may know better.
+    std::string message; // Human-readable.
+    std::int64_t configurationVersion { 0 }; // The version that the answer is based on, for the instance that forwarded the request; 0 if unknown.
+    bool givenWithoutStore { false }; // Whether the answer was given while the store was unreachable, so that an instance that reaches it may have a better one.
 };
 
 class CallerProtocol {
@@ -64,25 +64,25 @@
 
     virtual CallerRequest parseRequest(const http::Request&) const = 0;
 
-    // The job in the body; id, workspace and terms are filled in by the gateway.
+    // Parses the job in the body. The gateway sets its id, workspace and terms.
     virtual Result<tasks::Job> parseJob(const std::string& body) const = 0;
 
     virtual bool isJobId(std::string_view) const = 0;
 
     virtual http::Answer encode(const CallerAnswer&) const = 0;
 
-    // The request as another instance understands it, and its answer; nothing if that
-    // is no answer of an instance.
+    // Encodes a request that is forwarded to another instance, and parses the other instance's
+    // answer. parseAnswer() returns nothing if the reply is not from an instance.
     virtual http::Call encodeRequest(const CallerRequest&) const = 0;
     virtual std::optional<CallerAnswer> parseAnswer(RequestKind, const http::Reply&) const = 0;
 };
 
-// The operators' configuration.
+// The format of the operators' configuration.
 class ConfigurationProtocol {
 public:
     virtual ~ConfigurationProtocol() = default;
 
-    // Whether the record under this key is the text itself.
+    // Whether the record with this key is the configuration.
     virtual bool isConfiguration(std::string_view key) const = 0;
     virtual Result<tasks::Catalog> parseConfiguration(std::string_view value) const = 0;
 };
--- a/src/instance/claim_record.h
+++ b/src/instance/claim_record.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// How a claim to plan stands in the log.
+// The record format of claims in the store.
 
 #include "base/error.h"
 #include "tasks/election.h"
@@ -10,13 +10,13 @@
 
 namespace rattan::instance {
 
-// The key of every claim: only the newest is kept for good.
+// All claims share this key, so that the store keeps only the newest one permanently.
 inline constexpr std::string_view claimKey = "planner";
 
-// The process that claims: its instance, where callers reach that, and digits of its own.
+// Identifies the process that claims: instance name, its address for callers, and a random suffix.
 std::string formatHolder(const std::string& instance, const std::string& callerAddress, const std::string& process);
 
-// Where callers reach the holder; empty if the claim has none.
+// The holder's address for callers, or empty if the claim has no holder.
 std::string addressOfHolder(const std::string& holder);
 
 std::string encodeClaim(const tasks::Claim&);
--- a/src/instance/control_loop.cc
+++ b/src/instance/control_loop.cc
@@ -1,5 +1,6 @@
-// The thread, what callers ask and hear, and what is appended for them. Terms of
-// planning are in control_loop_term.cc, what streams tell in control_loop_streams.cc.
+// The loop, callers' requests and answers, and appends of their records. Terms of planning are in
+// control_loop_term.cc, stream events in control_loop_streams.cc, and the relaying of orders in
+// control_loop_delivery.cc.
 
 #include "instance/control_loop.h"
 
@@ -42,7 +43,7 @@
 
     GatewayOptions gatewayOptions(const InstanceSettings& settings)
     {
-        constexpr double maxAgeShare = 0.8; // Of the time after which a withdrawn key must not work.
+        constexpr double maxAgeShare = 0.8; // Of the time after which a revoked key must be rejected.
         GatewayOptions options;
         options.maxConfigurationAge = static_cast<Millis>(static_cast<double>(settings.keyExpiry) * maxAgeShare);
         return options;
@@ -140,7 +141,7 @@
     this->applyNewSettings();
     this->acceptRequests(now, wall);
     this->configurationReader.step(now);
-    // Whoever carries starts needs the text of their jobs as soon as the planner has it.
+    // A relay needs the jobs of the starts that it sends as soon as the planner has them.
     this->jobsReader.setLowLatency(this->leadership || this->orderForwarder.isUsed() || this->gateway.isAwaitingJobEnd());
     this->jobsReader.step(now);
     this->claimsReader.step(now);
@@ -151,7 +152,7 @@
     this->gateway.step(now);
     this->appendRecords(now);
     this->answerCallers();
-    // Requests that another instance has not answered yet.
+    // Covers forwarded requests that the other instance has not answered yet.
     if (now >= this->answerDeadline)
         this->answerAll({ .outcome = Outcome::Unknown, .message = "this instance stops" });
     this->watchPlanner(now);
@@ -179,8 +180,8 @@
     }
 }
 
-// Times and bounds are taken while running. Addresses are where others know this
-// instance to be, so they stay until the next start.
+// Times and limits change at runtime. Addresses do not change before a restart, since other
+// instances and callers know this instance by them.
 void ControlLoop::applyNewSettings()
 {
     const std::lock_guard lock(this->newSettingsMutex);
--- a/src/instance/control_loop.h
+++ b/src/instance/control_loop.h
@@ -1,17 +1,17 @@
 #pragma once
 
-// The thread of an instance on which everything is decided: it follows the store,
-// answers callers through the gateway, takes part in the election, and plans
-// while it leads.
+// The thread that makes all decisions of an instance: it follows the streams of the store,
+// answers callers through the gateway, takes part in the election of the planner, and
+// plans while it leads.
 //
 //     ControlLoop loop(settings, protocols, clock, metrics);
 //     loop.start();
-//     CallerAnswer answer = loop.ask(request);      // from any thread; blocks
-//     loop.drain(clock.now() + 5000);               // hand the term over, answer all by then
+//     CallerAnswer answer = loop.handleRequest(request); // from any thread; blocks
+//     loop.drain(clock.now() + 5000);                    // resign, and answer all requests by then
 //     loop.stop();
 //
-// Callers' threads reach it through a bounded ring; when that is full, a request
-// is refused at once.
+// Callers' threads pass requests through a bounded queue. When it is full, a request is
+// refused immediately.
 
 #include "base/datagram_socket.h"
 #include "base/metrics.h"
@@ -58,16 +58,16 @@
     void start();
     void stop();
 
-    // Gives the term up, so that another instance follows at once. Whatever is asked is
-    // answered by that time, also where the outcome is not known by then.
+    // Resigns, so that another instance takes over planning immediately. Every request is
+    // answered by the deadline, with Outcome::Unknown if its outcome is not known by then.
     void drain(Millis answerDeadline);
 
-    // Settings that were read again; taken by the loop's next round.
+    // Sets reloaded settings, which the next iteration of the loop applies.
     void apply(const InstanceSettings&);
 
     CallerAnswer handleRequest(CallerRequest);
 
-    // Whether this instance wants new connections.
+    // Whether this instance accepts new connections.
     bool isReady() const { return this->gatewayReady && !this->draining; }
 
     void recordRead(Stream, const StoreRecord&, Millis now) override;
@@ -81,7 +81,7 @@
         std::promise<CallerAnswer> answer;
     };
 
-    // One waiter of the two sides: the caller's thread and the loop.
+    // A request whose caller's thread waits for the answer of the loop.
     struct UnansweredRequest {
         std::promise<CallerAnswer> answer;
         CallerRequest request;
@@ -124,7 +124,7 @@
     Metrics& metrics;
     http::AsyncClient client;
     tasks::JobTable jobs;
-    tasks::PlanTable plans; // As they were when a term of this instance last began.
+    tasks::PlanTable plans; // As of the start of this instance's latest term; not updated while it plans.
     Gateway gateway;
     RequestForwarder requestForwarder;
     StreamReader configurationReader;
@@ -153,7 +153,7 @@
     TrafficReport trafficReport;
 
     std::mutex newSettingsMutex;
-    std::optional<InstanceSettings> newSettings; // Read again, and not taken yet.
+    std::optional<InstanceSettings> newSettings; // Reloaded and not applied yet.
 
     std::thread thread;
     std::atomic<bool> stopping { false };
--- a/src/instance/control_loop_delivery.cc
+++ b/src/instance/control_loop_delivery.cc
@@ -1,4 +1,4 @@
-// Carrying orders for the instance that plans, and having others carry them.
+// Relays orders for the planning instance, and uses other instances as relays while planning.
 
 #include "delivery/relay_offer.h"
 #include "instance/control_loop.h"
@@ -9,7 +9,7 @@
 
 using namespace detail;
 
-// Without it this instance plans as if there were no other, and carries nothing.
+// Without the delivery thread, this instance plans without relays and is no relay itself.
 void ControlLoop::startDeliveries()
 {
     if (this->settings.peerAddress.empty())
@@ -19,7 +19,7 @@
     this->deliveryThreadFailed = this->deliveries.hasFailed();
 }
 
-// Orders of a session are a group of calls of their own; terms have the numbers above 0.
+// Each session has its own group of calls with a negative number; terms use positive numbers.
 std::unique_ptr<delivery::WorkerChannel> ControlLoop::channelFor(std::uint64_t session)
 {
     const int group = -static_cast<int>(session);
@@ -50,7 +50,7 @@
         this->leadership->peerLost(peer, now);
 }
 
-// Only where the jobs are known as they are now: a start needs the text of its job.
+// Offers are sent only while the job table is recent, since sending a start requires its job.
 void ControlLoop::sendRelayOffer(Millis now)
 {
     const bool hasRecentJobs = this->jobsReader.loaded() && now - this->jobsReader.confirmedAt() <= maxJobsAgeForRelaying;
--- a/src/instance/control_loop_limits.h
+++ b/src/instance/control_loop_limits.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Times and bounds of a ControlLoop, each with the reason for its size.
+// Times and limits of ControlLoop.
 
 #include "base/clock.h"
 
@@ -9,65 +9,65 @@
 
 namespace rattan::instance::detail {
 
-inline constexpr std::size_t maxQueuedRequests = 1024; // Requests between callers' threads and the loop.
+inline constexpr std::size_t maxQueuedRequests = 1024; // Requests from callers' threads that the loop has not accepted yet.
 
-// A wait of the loop; everything that must happen sooner wakes it.
+// Longest wait of an iteration; any earlier event wakes the loop.
 inline constexpr Millis maxLoopWait = 100;
 
-// A turn that takes this much longer than it waits is told of: answers are read and terms
-// renewed that much late, which one cannot tell from a slow network otherwise.
+// An iteration that exceeds its wait by this much is logged. It delays answers and the renewal
+// of terms, which otherwise looks like a slow network.
 inline constexpr Millis slowIterationThreshold = 200;
 
-// A silent connection to the store is noticed this much later than a dead one:
-// soon where work hangs on it, and well before keys are not believed any more
-// for the text, which rarely changes.
+// How long a read at the store may wait for new records. A silent connection is detected this
+// much later than a closed one, so the wait is short for streams that work depends on. The
+// configuration rarely changes; its wait only has to end well before API keys stop being accepted.
 inline constexpr Millis streamReadWait = 1000;
 inline constexpr Millis configurationReadWait = 1500;
 
-// Weak instances leave planning to stronger ones, by claiming this much later.
-// An eighth of a core starts work late beside 350 workers; a quarter does not.
+// Instances with fewer cores delay their claims, so that faster instances plan. With 350
+// workers, an eighth of a core starts tasks late and a quarter does not.
 inline constexpr double minPlanningCores = 0.25; // Cores.
 
-// Every instance reads what happens to every job. Where nobody waits for it, one
-// read for all records of this time is enough. The planner waits for new jobs, and
-// callers wait for the ends of theirs: they hear of each record at once.
+// Every instance reads the records of all jobs. Without urgent need, one read covers all records
+// of this interval. While this instance plans or relays orders, which needs new jobs, or a
+// caller waits for the end of a job, each record is read immediately.
 inline constexpr Millis jobsBatchInterval = 250;
 
-// Instances that hardly ever plan need not hear of each renewal.
+// Instances below minPlanningCores rarely plan and do not need every renewal immediately.
 inline constexpr Millis weakClaimsBatchInterval = 900;
 
-// Without a newer reading of the claims they do not claim either: twice the time that
-// a reading usually takes them.
+// Such instances do not claim if their last confirmed read of the claims is older than this,
+// twice the time that such a read usually takes.
 inline constexpr Millis maxWeakClaimsAge = 4000;
 
-// Whoever claims has read the plans this lately, and reads on from there once it leads.
+// An instance claims only if it read the plans this recently; it continues from there when it leads.
 inline constexpr Millis maxPlansAge = 1500;
 
-// The planner forgets whoever has not offered to carry orders for three of these.
+// The planner drops relays whose last offer is older than three intervals.
 inline constexpr Millis offerInterval = 1000;
 
-// Twice what a reading of the jobs' stream takes where nobody is in a hurry.
+// Twice the duration of a jobs read without urgent need.
 inline constexpr Millis maxJobsAgeForRelaying = 2500;
 
-inline constexpr Millis gaugesInterval = 500; // Whoever collects them does so every few seconds.
+inline constexpr Millis gaugesInterval = 500; // Metrics are collected every few seconds.
 
-inline constexpr Millis claimTimeout = 500; // Longer than a renewal takes at a slow store, and half a term.
+inline constexpr Millis claimTimeout = 500; // Half a term, and longer than a renewal at a slow store.
 inline constexpr std::chrono::milliseconds connectTimeout { 400 };
-inline constexpr std::chrono::milliseconds appendTimeout { 700 }; // Callers wait three seconds; another instance must have time to try.
-inline constexpr std::size_t maxRecordsPerAppend = 200; // Of one append; at usual rates there is one.
-inline constexpr std::size_t maxBytesPerAppend = 1 << 20; // Half of what the store takes at once.
-inline constexpr Millis appendRetryDelay = 50; // After an append that the store did not take.
+inline constexpr std::chrono::milliseconds appendTimeout { 700 }; // Callers time out after three seconds; another instance must have time to retry.
+inline constexpr std::size_t maxRecordsPerAppend = 200; // At usual rates an append has one record.
+inline constexpr std::size_t maxBytesPerAppend = 1 << 20; // Half of the store's limit.
+inline constexpr Millis appendRetryDelay = 50; // After a failed append.
 
-// Instances that all find the planner gone must not all claim at once.
+// Spreads the claims of instances that detect the failure of the planner at the same time.
 inline constexpr Millis maxElectionJitter = 100;
 
-// Of an instance without any processor time; one with half of what planning takes waits
-// half of it. Longer than the pauses between two tries to read a store that was away,
-// so that a strong instance comes first and callers wait less for their starts.
+// Extra delay before the claim of an instance with zero cores. It decreases linearly to zero at
+// minPlanningCores. It is longer than the pause between two reads of an unavailable store, so
+// that a faster instance claims first and jobs start earlier.
 inline constexpr Millis maxWeaknessDelay = 2000;
 
-// To the store: three streams wait, and the list, records, claims, appends and
-// two probes must not wait for them.
+// Connections to the store. Reads of three streams block, and the worker list, records, claims,
+// appends and two probes must not queue behind them.
 inline constexpr long connectionsPerPeer = 10;
 
 } // namespace rattan::instance::detail
--- a/src/instance/control_loop_streams.cc
+++ b/src/instance/control_loop_streams.cc
@@ -1,4 +1,4 @@
-// What the streams of the store tell: jobs, the operators' configuration, claims.
+// Handles events of the store's streams: jobs, the operators' configuration, claims and plans.
 
 #include "instance/claim_record.h"
 #include "instance/control_loop.h"
@@ -18,7 +18,7 @@
     case Stream::Plans:
         return this->plans.apply(record.key, record.value, record.offset);
     case Stream::Workers:
-        return; // Read by whoever leads.
+        return; // Read by Leadership.
     }
 }
 
@@ -69,7 +69,7 @@
     }
     this->orderForwarder.claimed(claim.value->term);
     if (claim.value->holder != this->election.newestClaim().holder) {
-        this->nextOfferAt = 0; // The planner that follows needs helpers at once.
+        this->nextOfferAt = 0; // A new planner needs relays immediately.
         logEvent(events::leadSeen, { { "term", claim.value->term }, { "holder", claim.value->holder } });
     }
     this->election.recordRead(*claim.value, record.offset, now);
--- a/src/instance/control_loop_term.cc
+++ b/src/instance/control_loop_term.cc
@@ -1,4 +1,4 @@
-// Terms of planning: claiming, noticing that the planner is gone, and leading.
+// Terms of planning: claims, detection of a failed planner, and leadership.
 
 #include "delivery/relay_offer.h"
 #include "instance/claim_record.h"
@@ -24,9 +24,9 @@
         this->sendClaim(*append);
 }
 
-// Over a narrow link the plans take longer to load than a term lasts, and the answer to its
-// renewal waits behind them: claimed first, the term would be lost before it begins, and
-// the next one too.
+// Requires the plans to be loaded before a claim. Over a narrow link, loading them takes longer
+// than a term, and the response to the renewal queues behind them. If the claim came first, this
+// term and each later one would be lost before planning begins.
 bool ControlLoop::isReadyToClaim(Millis now)
 {
     const bool isFresh = this->plansReader.loaded() && now - this->plansReader.confirmedAt() <= maxPlansAge;
@@ -55,8 +55,8 @@
     });
 }
 
-// Without the socket this instance waits for terms to run out, as it does where its
-// datagrams do not get through.
+// Without the socket, and also if its datagrams are lost, this instance detects a failed planner
+// only by the end of the planner's term.
 void ControlLoop::openPeerSocket()
 {
     if (this->settings.peerAddress.empty())
@@ -88,7 +88,8 @@
         this->election.suspect(now);
 }
 
-// Where the holder of a claim takes datagrams: all instances use the same port.
+// The datagram address of the holder of a claim, or empty if unknown or this instance. All
+// instances use the same port.
 std::string ControlLoop::peerAddressOf(const std::string& holder) const
 {
     const std::string& ownPeerAddress = this->settings.peerAddress;
--- a/src/instance/forwarded_answer.cc
+++ b/src/instance/forwarded_answer.cc
@@ -6,18 +6,18 @@
 
     bool isDone(const CallerAnswer& answer) { return answer.outcome == Outcome::Accepted || answer.outcome == Outcome::Cancelled; }
 
-    // What either instance did, or may have done, stays true whatever else the two say.
-    // Only of what neither did may one of them know better.
+    // An operation that either instance executed, or may have executed, determines the answer,
+    // whatever the other answer is. Only if neither executed it can one of them be better.
     CallerAnswer mergeAnswers(const CallerAnswer& ownAnswer, const CallerAnswer& peerAnswer, bool wasResent)
     {
         if (isDone(peerAnswer))
             return peerAnswer;
         if (ownAnswer.outcome == Outcome::Unknown)
             return peerAnswer.outcome == Outcome::State && peerAnswer.configurationVersion >= ownAnswer.configurationVersion ? peerAnswer : ownAnswer;
-        // A rejection tells nothing of the transmission before it.
+        // A rejection of the second transmission does not show the outcome of the first one.
         if (peerAnswer.outcome == Outcome::Unknown || wasResent)
             return { .outcome = Outcome::Unknown, .message = peerAnswer.message, .configurationVersion = peerAnswer.configurationVersion };
-        // The other may be cut off as well and go by a text that is older than the one here.
+        // The other instance may also be cut off from the store, with an older configuration.
         if (peerAnswer.configurationVersion < ownAnswer.configurationVersion)
             return ownAnswer;
         return peerAnswer.outcome == Outcome::NotNow && ownAnswer.outcome != Outcome::NotNow ? ownAnswer : peerAnswer;
--- a/src/instance/forwarded_answer.h
+++ b/src/instance/forwarded_answer.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// What a caller is told once its request was passed on to another instance.
+// Determines the answer to a caller whose request was forwarded to another instance.
 //
-//     const CallerAnswer told = answerAfterRelay(request.kind, own, protocol.parseAnswer(request.kind, reply), reply);
+//     const CallerAnswer answer = mergeForwardedAnswer(request.kind, ownAnswer, protocol.parseAnswer(request.kind, reply), reply);
 //
-// `own` is the answer that this instance would have given, `other` the other one's; empty:
-// none came that can be read. Pure.
+// `ownAnswer` is the answer that this instance would have given. `peerAnswer` is the other
+// instance's answer, or empty if no readable one was received. A pure function.
 
 #include "http/client.h"
 #include "instance/caller_protocol.h"
--- a/src/instance/forwarding_peers.h
+++ b/src/instance/forwarding_peers.h
@@ -1,16 +1,15 @@
 #pragma once
 
-// Which other instance is asked when this one cannot serve for want of the store.
+// Chooses the instance to which requests are forwarded while this one cannot reach the store.
 //
-//     RelayPeers peers("10.1.0.7:8287");
-//     peers.planned("10.2.0.9:8287");             // it holds, or held, the newest claim
+//     ForwardingPeers peers("10.1.0.7:8287");
+//     peers.plannerSeen("10.2.0.9:8287"); // holds, or held, the newest claim
 //     if (const auto peer = peers.choose(now)) ...
-//     peers.failed(*peer, now);                   // it could not be reached
+//     peers.markUnreachable(*peer, now);
 //
-// The load this answers: the store turns a third of the instances away and serves the
-// others. An instance that plans has renewed its claim within the last second, so it
-// surely reached the store then; those that planned before it come next. Not
-// thread-safe.
+// Designed for a store that rejects a third of the instances and serves the others. The
+// planning instance renewed its claim within the last second, so it reached the store then.
+// Previous planners are the next choice. Not thread-safe.
 
 #include "base/clock.h"
 
@@ -29,19 +28,19 @@
 
     void plannerSeen(const std::string& address);
 
-    // The instance that planned last, of those that can be reached; never this one.
+    // The reachable instance that planned most recently, or nothing. Never this instance.
     std::optional<std::string> choose(Millis now) const;
 
     void markUnreachable(const std::string& address, Millis now);
     void markReachable(const std::string& address);
 
 private:
-    // Planners change a few times an hour, so three say enough; with more, a request
-    // would be offered to many dead ones in a row.
+    // Planners change a few times an hour, so three are enough. With more, a request could be
+    // sent to many unreachable ones in a row.
     static constexpr std::size_t maxPeers = 3;
 
-    // A peer out of reach is not asked again for this long: cuts last seconds, and each
-    // try costs a caller the time of a connection attempt.
+    // An unreachable peer is avoided for this long. Cuts last seconds, and each try delays a
+    // caller by a connection attempt.
     static constexpr Millis peerRetryDelay = 2000;
 
     struct Peer {
@@ -50,7 +49,7 @@
     };
 
     const std::string ownAddress;
-    std::deque<Peer> peers; // The newest first.
+    std::deque<Peer> peers; // Newest planner first.
 };
 
 } // namespace rattan::instance
--- a/src/instance/gateway.cc
+++ b/src/instance/gateway.cc
@@ -14,12 +14,12 @@
 
 namespace {
 
-    // Another instance may do at once what this one cannot; the platform sends a
-    // retry there.
+    // Suggested to refused callers. Short, since the platform routes the retry to another
+    // instance, which may be able to serve it immediately.
     constexpr Millis retryDelay = 1000;
 
-    // An append without an answer may be carried out for this long; what was appended by
-    // then has been read, or was never stored.
+    // The store may execute an append without a response for this long. Once the jobs stream
+    // is read up to a later time, a record that was not read was never stored.
     constexpr Millis maxAppendDelay = 15000;
 
 } // namespace
@@ -35,7 +35,7 @@
 void Gateway::configurationUpdated(std::shared_ptr<const tasks::Catalog> newCatalog)
 {
     if (this->hasConfiguration && newCatalog->version < this->catalog->version)
-        return; // A version never goes back.
+        return; // The version in use never decreases.
     this->catalog = std::move(newCatalog);
     this->hasConfiguration = true;
 }
@@ -59,16 +59,16 @@
         return this->refuse(ticket, waiting, "this instance has just started", now);
     if (this->catalog->version < this->minConfigurationVersion)
         return this->refuse(ticket, waiting, "a newer configuration is in force elsewhere", now);
-    // Cut off from the store, this instance may have missed the version that added a
-    // queue or a key: its caller would be told that there is none, and give up.
+    // While the store is unreachable, this instance may have missed the configuration version
+    // that added a queue or a key. A final "no such queue" would make the caller give up.
     const bool isPossiblyOutdated = !this->isStoreReachable(now);
     const tasks::Queue* queue = this->catalog->queueFor(request.host, request.path);
     if (!queue)
         return this->answer(ticket, waiting, { .outcome = Outcome::NoSuchQueue, .givenWithoutStore = isPossiblyOutdated }, now);
     std::string workspace;
     if (!queue->open) {
-        // A key that was taken away would go on working here for as long as this
-        // instance does not hear of it.
+        // Otherwise a revoked key would keep working here until this instance reads the
+        // configuration again.
         if (now - this->configurationConfirmedAt > this->options.maxConfigurationAge)
             return this->refuse(ticket, waiting, "the operators' configuration cannot be read at present", now);
         const std::string* keyWorkspace = this->catalog->workspaceFor(request.apiKey);
@@ -79,7 +79,7 @@
         workspace = *keyWorkspace;
     }
     waiting.jobId = request.path.substr(queue->pathPrefix.size());
-    // A count from long ago would be told as the present one.
+    // An outdated count must not be reported as the current one.
     if (waiting.jobId.empty() && request.kind == RequestKind::State && now - this->jobsConfirmedAt > this->options.maxPendingCountAge)
         return this->refuse(ticket, waiting, "the store is out of reach", now);
     if (waiting.jobId.empty() && request.kind == RequestKind::State)
@@ -158,7 +158,7 @@
     this->waitingRequests.emplace(ticket, std::move(waiting));
     const auto hasSameKey = [&](const StoreRecord& record) { return record.key == key; };
     if (this->inFlightRecords.contains(key) || std::any_of(this->records.begin(), this->records.end(), hasSameKey))
-        return; // A repeat while the first is under way.
+        return; // An append of the same record is already queued or in flight.
     this->records.push_back({ key, std::move(value), 0 });
 }
 
@@ -199,7 +199,8 @@
     }
 }
 
-// All of them at once: a rejection depends on who still waits.
+// Removes all matching requests before any of them is answered, since a refusal depends on
+// which requests still wait for the same record.
 std::vector<std::pair<std::uint64_t, Gateway::WaitingRequest>> Gateway::takeWaiting(const std::function<bool(const WaitingRequest&)>& matches)
 {
     std::vector<std::pair<std::uint64_t, WaitingRequest>> taken;
@@ -213,7 +214,7 @@
     return taken;
 }
 
-// Whether what is known of a job now answers a question about it.
+// Whether the current entry of the job answers the waiting request.
 bool Gateway::canAnswer(const WaitingRequest& waiting, const JobEntry& entry) const
 {
     if (waiting.awaited == AwaitedEvent::JobEnd)
@@ -289,28 +290,30 @@
     }
     std::erase_if(this->unresolvedRecords, [&](const auto& item) { return this->jobsConfirmedAt - item.second > maxAppendDelay; });
     std::erase_if(this->storedRecords, [&](const auto& item) { return this->jobsConfirmedAt > item.second; });
-    // A record whose questions have all been answered must not be appended later.
+    // A record must not be appended after all requests for it were answered.
     std::erase_if(this->records, [&](const StoreRecord& record) {
         return std::none_of(this->waitingRequests.begin(), this->waitingRequests.end(), [&](const auto& item) { return item.second.recordKey == record.key; });
     });
 }
 
-// It was stored, its append is under way or may be carried out late, or it waits for its turn.
+// True if the record was stored, an append of it is in flight or unresolved, or a waiting
+// request is about to append it.
 bool Gateway::isPossiblyStored(const std::string& recordKey) const
 {
     return this->storedRecords.contains(recordKey) || this->inFlightRecords.contains(recordKey) || this->unresolvedRecords.contains(recordKey)
         || std::any_of(this->waitingRequests.begin(), this->waitingRequests.end(), [&](const auto& item) { return item.second.recordKey == recordKey; });
 }
 
-// Whoever cancels it must not hear that there is no such job, here or from another instance.
+// True if the job is not in the table but its record may still appear. A cancel request for
+// it must not be answered with "no such job", neither here nor by another instance.
 bool Gateway::isJobPossiblyStored(const std::string& jobId) const
 {
     return !this->jobs.find(jobId) && this->isPossiblyStored(tasks::keyText({ RecordKind::Job, jobId }));
 }
 
-// "Not now" says that nothing was done and nothing will be. While a record of
-// the job may be stored, that could turn out false: the caller is told that the
-// outcome is not known, and asks again.
+// Outcome::NotNow promises that nothing was done and nothing will be done. While a record of
+// the job may be stored, that promise could be broken, so the outcome is Unknown instead
+// and the caller retries.
 void Gateway::refuse(std::uint64_t ticket, const WaitingRequest& waiting, std::string why, Millis now)
 {
     const RequestKind kind = waiting.request.kind;
--- a/src/instance/gateway.h
+++ b/src/instance/gateway.h
@@ -1,25 +1,26 @@
 #pragma once
 
-// What callers are told, decided without clock, I/O or threads.
+// Decides the answer to each caller's request. Pure logic: no clock, I/O or threads.
 //
 //     Gateway gateway({}, protocol, jobs);
-//     gateway.configurationRead(catalog, confirmedAt);
-//     gateway.ask(ticket, request, now);
+//     gateway.configurationUpdated(catalog);
+//     gateway.configurationConfirmed(confirmedAt);
+//     gateway.handleRequest(ticket, request, now, wall);
 //     for (const StoreRecord& record : gateway.takeRecords(200, 1 << 20)) append(record);
-//     gateway.appended(keys, AppendStatus::Appended, now);      // what became of them
-//     gateway.jobsRead(confirmedAt, now);                       // the log was read up to then
+//     gateway.appendCompleted(keys, AppendStatus::Appended, now); // the outcome of the append
+//     gateway.jobsConfirmed(confirmedAt, now);                    // the jobs stream was read up to confirmedAt
 //     for (const GatewayAnswer& answer : gateway.takeAnswers()) reply(answer);
 //
-// Rules it keeps. A job is accepted once it is durable: its append was
-// acknowledged, or it was read back. A refusal that says "not run" is given only
-// where the record is not known to be stored and no append of it is under way or
-// about to begin. That there is no such job is told only
-// after the log was read up to the moment of the question. Keys are believed for
-// as long as the text was confirmed lately enough.
+// Guarantees. A job is accepted only after its record is durable: the store acknowledged
+// the append, or the record was read back. Outcome::NotNow, which means that the job will
+// not run, is given only if the record is not known to be stored and no append of it is in
+// flight or queued. Outcome::NoSuchJob is given only after the jobs stream was read up to
+// the time of the request. API keys are accepted only while the configuration was
+// confirmed recently enough.
 //
-// Bounded: at most `mostWaiting` questions wait at once; further ones are refused
-// at once, and so are submissions while `mostUnread` records are yet to be read
-// back. Each is answered within its caller's patience.
+// Limits: at most `maxWaitingRequests` requests wait at the same time. Further requests are
+// refused immediately, and so are submissions while `maxUnreadRecords` records have not been
+// read back yet. Each request is answered within its caller's timeout.
 
 #include "instance/caller_protocol.h"
 #include "instance/store_protocol.h"
@@ -38,24 +39,24 @@
 namespace rattan::instance {
 
 struct GatewayOptions {
-    std::size_t maxWaitingRequests { 2000 }; // Questions; about 5 KB each with their job.
-    std::size_t maxUnreadRecords { 20000 }; // Records that were or may have been appended; about 100 bytes each. Beyond, no job is taken.
-    Millis maxAnswerTime { 2500 }; // Callers wait three seconds, and answers take time to arrive.
-    Millis answerMargin { 300 }; // Kept of a caller's patience for the way back.
-    Millis maxConfigurationAge { 4000 }; // Without a newer reading of the text no key is believed for longer.
-    Millis maxPendingCountAge { 1800 }; // The number of waiting jobs may be two seconds old.
-    // Who asks for the state of a running job hears this much later that it still
-    // runs, or hears of its end as soon as it is known here. Callers ask when they expect
-    // the end, and again after a pause: the end is known here shortly after it
-    // happened, and one who was told "running" just before learns of it only then.
+    std::size_t maxWaitingRequests { 2000 }; // About 5 KB each, including the job.
+    std::size_t maxUnreadRecords { 20000 }; // Records that were or may have been appended but were not read back; about 100 bytes each. Submissions are refused above this.
+    Millis maxAnswerTime { 2500 }; // Callers time out after three seconds, and the answer needs time to reach them.
+    Millis answerMargin { 300 }; // Part of the caller's timeout that is reserved for sending the answer.
+    Millis maxConfigurationAge { 4000 }; // API keys are not accepted if the configuration was last confirmed longer ago.
+    Millis maxPendingCountAge { 1800 }; // The reported number of pending jobs may be two seconds old.
+    // A request for the state of a running job waits this long for the end of the job, and is
+    // answered as soon as the end is known. Callers poll when they expect the end, and poll
+    // again after a pause. The end becomes known here shortly after it happened, so an
+    // immediate "running" would delay the caller by a whole pause.
     Millis jobEndWait { 200 };
-    Millis maxStoreSilence { 1200 }; // A store that has been silent for longer is taken as out of reach.
+    Millis maxStoreSilence { 1200 }; // Without a confirmed read for longer, the store counts as unreachable.
 };
 
 struct GatewayAnswer {
     std::uint64_t ticket { 0 };
     CallerAnswer answer;
-    std::string jobId; // For the log.
+    std::string jobId; // For logging only.
     Millis waitTime { 0 };
 };
 
@@ -66,32 +67,33 @@
     void configurationUpdated(std::shared_ptr<const tasks::Catalog>);
     void configurationConfirmed(Millis at) { this->configurationConfirmedAt = at; }
 
-    // Callers here were answered by another instance from this version of the text.
-    // Until it is read here nothing is decided by an older one: a caller whose queue was
-    // served a moment ago would be told that there is none.
+    // Reports that another instance answered a forwarded request based on this configuration
+    // version. Until this version is read here, requests are refused: an older configuration
+    // may lack a queue that was served a moment ago, and its caller would get "no such queue".
     void requireConfigurationVersion(std::int64_t version) { this->minConfigurationVersion = std::max(this->minConfigurationVersion, version); }
 
-    // Everything appended before `confirmedAt` is in the table.
+    // Reports that the job table contains every record that was appended before `confirmedAt`.
     void jobsConfirmed(Millis confirmedAt, Millis now);
     void jobChanged(const std::string& id, Millis now);
 
     void handleRequest(std::uint64_t ticket, const CallerRequest&, Millis now, Millis wall);
 
-    // Records to append, each told of later in appended().
-    // The oldest, and at least one, if there are any.
+    // Removes and returns the oldest records to append, at least one if there are any. The
+    // caller reports the outcome of each with appendCompleted().
     std::vector<StoreRecord> takeRecords(std::size_t maxRecords, std::size_t maxBytes);
     void appendCompleted(const std::vector<std::string>& keys, AppendStatus, Millis now);
 
-    // This instance stops: whatever is asked, before or after this call, is answered by then.
+    // Sets the time by which every request is answered, whether received before or after this
+    // call. Used at shutdown.
     void setAnswerDeadline(Millis at) { this->answerDeadline = at; }
 
     void step(Millis now);
     std::vector<GatewayAnswer> takeAnswers();
 
-    // True while a question waits for the log to be read up to now.
+    // True while a request waits until the jobs stream is read up to the time of the request.
     bool needsJobsRead() const;
 
-    // True while a question waits for the end of a running job.
+    // True while a request waits for the end of a running job.
     bool isAwaitingJobEnd() const;
 
     bool isReady(Millis now) const;
@@ -100,19 +102,19 @@
 
 private:
     enum class AwaitedEvent {
-        RecordStored, // To be durable.
-        JobsConfirmed, // Of the log up to `askedAt`.
-        JobEnd, // Of a job that runs, for a short while.
+        RecordStored, // The record of the request is durable.
+        JobsConfirmed, // The jobs stream was read up to `receivedAt`.
+        JobEnd, // The running job ended; waits only for `jobEndWait`.
     };
 
     struct WaitingRequest {
         CallerRequest request;
         AwaitedEvent awaited { AwaitedEvent::RecordStored };
         std::string jobId;
-        std::string recordKey; // Key of what has to be durable.
+        std::string recordKey; // Key of the record that has to be durable; empty if there is none.
         Millis receivedAt { 0 };
         Millis deadline { 0 };
-        bool sent { false }; // An append of the record may have been carried out.
+        bool sent { false }; // Whether an append of the record may have been executed.
     };
 
     void submit(std::uint64_t ticket, WaitingRequest, const tasks::Queue&, std::string workspace, Millis now, Millis wall);
@@ -138,10 +140,10 @@
     Millis configurationConfirmedAt { 0 };
     Millis jobsConfirmedAt { 0 };
     std::map<std::uint64_t, WaitingRequest> waitingRequests;
-    std::vector<StoreRecord> records; // To be appended.
-    std::map<std::string, int> inFlightRecords; // Keys of records in an append that has no outcome yet.
-    std::map<std::string, Millis> unresolvedRecords; // Keys of appends that may be carried out late, and since when.
-    std::map<std::string, Millis> storedRecords; // Keys of records that may not have been read back yet, and since when.
+    std::vector<StoreRecord> records; // Queued for the next append.
+    std::map<std::string, int> inFlightRecords; // Number of appends without an outcome yet, by record key.
+    std::map<std::string, Millis> unresolvedRecords; // Time at which the outcome of an append was lost, by record key; the store may still execute it.
+    std::map<std::string, Millis> storedRecords; // Time at which an append was acknowledged, by record key, until the record is read back.
     std::vector<GatewayAnswer> answers;
 };
 
--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -19,28 +19,28 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds adviceTimeoutMargin { 700 }; // Beyond what the service takes for the question.
+    constexpr std::chrono::milliseconds adviceTimeoutMargin { 700 }; // Added to the expected processing time of the advice service.
 
     constexpr std::chrono::milliseconds connectTimeout { 500 };
 
-    // Starts of urgent work are due within little more than a second.
+    // Reporting thresholds. Urgent tasks must start within little more than a second.
     constexpr Millis slowOrderThreshold = 300;
     constexpr Millis slowBatchThreshold = 200;
     constexpr Millis slowRoundThreshold = 50;
 
-    constexpr int planPauseFactor = 2; // Times a turn's length: turns take a third of the processor time at most.
+    constexpr int planPauseFactor = 2; // Pause in multiples of a planner run's duration, which limits planning to a third of the processor time.
 
-    constexpr Millis maxQueuedAdvice = 5; // Questions that may be before one, and itself.
+    constexpr Millis maxQueuedAdvice = 5; // Requests that the advice service may process before and including this one.
 
-    // Jobs that are over are told of for twice as long as callers were promised,
-    // since an instance counts from when it first heard of the end.
+    // The state of an ended job is kept for twice the promised time, since each instance counts
+    // from the time when it first read of the end.
     constexpr Millis statusRetentionFactor = 2;
     constexpr Millis forgetInterval = 5000;
-    constexpr std::size_t maxForgottenJobs = 100; // 20 a second; 11,000 jobs a day are one in eight seconds.
+    constexpr std::size_t maxForgottenJobs = 100; // Per interval: 20 a second, while 11,000 jobs a day are one in eight seconds.
 
-    // The list changes with every heartbeat of every worker, so reading on at once
-    // would cost a call for each. Twice a second keeps what is seen of a worker
-    // that leaves well under the time within which it must get nothing new.
+    // The worker list changes with every heartbeat of every worker, so continuous reads would
+    // cost one call per heartbeat. Two reads a second notice a leaving worker well within the
+    // time after which it must not get new work.
     constexpr Millis workerListInterval = 400;
 
     std::vector<StoreRecord> toStoreRecords(const tasks::RecordBatch::Records& records)
@@ -159,13 +159,13 @@
         this->channel.step(this->services.clock.now());
 }
 
-// Each turn looks at every worker. Beside a thousand of them, and with answers that arrive
-// all the time, turns would take all of the processor; answers share one instead.
+// Each run examines every worker. With a thousand workers whose answers arrive continuously,
+// one run per answer would use all processor time, so that several answers share a run.
 void Leadership::runPlanner(Millis now, Millis wall)
 {
     this->forgetExpiredJobs(now);
     this->planner->step(now, wall);
-    // On a weak machine rounds must not keep the term from being renewed.
+    // On a slow machine, planner runs must not delay the renewal of the term.
     const Millis duration = this->services.clock.now() - now;
     this->planner->stepTook(duration, this->services.clock.now());
     if (duration >= slowRoundThreshold)
@@ -213,8 +213,8 @@
     this->services.roster.setWorkers(std::move(places));
 }
 
-// The machine may have stood still since an order was decided. Sent now, it could reach a
-// worker after the orders of a planner that took over.
+// The process may have been suspended since an order was decided. Sent now, the order could
+// reach a worker after the orders of a later planner.
 bool Leadership::confirmLeadership()
 {
     if (!this->services.election.leads(this->services.clock.now()))
@@ -230,7 +230,7 @@
     this->channel.lost(peer, now);
 }
 
-// A few at a time, so that the records of a busy hour do not go out in one append.
+// Limited per interval, so that the records of a busy hour are not deleted in a single append.
 void Leadership::forgetExpiredJobs(Millis now)
 {
     if (now < this->nextForgetAt)
@@ -271,8 +271,7 @@
         this->sendAdvice(order);
 }
 
-// The service takes questions one after the other, so a question may wait for those
-// that were asked just before.
+// The advice service processes requests sequentially, so a request may wait for earlier ones.
 void Leadership::sendAdvice(const tasks::AdviceOrder& order)
 {
     http::Call call = this->services.workers.advise(order);
@@ -292,9 +291,10 @@
     });
 }
 
-// An order may wait for seconds behind others that get no answer. A lease from when it is
-// sent would outlive what the planner counts from its decision: it would take the run for
-// over, and start the task a second time while it still runs.
+// The lease starts at the decision, not at the transmission. An order may wait for seconds
+// behind orders without answers. A lease from the transmission would outlast the one that the
+// planner counts: the planner would consider the run ended and start the task a second time
+// while it still runs.
 void Leadership::sendStart(const tasks::StartOrder& order)
 {
     const Millis leaseEnd = this->workerClocks.estimate(order.worker, order.decidedAt).value_or(0) + this->services.settings.maxLease;
@@ -380,7 +380,7 @@
         target[record.key] = *sighting.value;
         return;
     }
-    // Written by somebody else, or damaged: it names no worker to use.
+    // The record is malformed, so the worker that it describes cannot be used.
     target.erase(record.key);
     logEvent(events::recordUnreadable, { { "stream", "workers" }, { "key", record.key }, { "why", sighting.error.message } });
 }
--- a/src/instance/leadership.h
+++ b/src/instance/leadership.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// One term of planning: from the moment this instance holds the newest claim
-// until it gives it up or loses it.
+// One term of planning: from the moment this instance holds the newest claim until it
+// resigns or loses the claim.
 //
-//     Leadership term(7, services, jobs);
-//     term.step(now, wall);          // only while the election says that this instance leads
-//     if (term.lost()) ...
+//     Leadership leadership(7, services, jobs, plans);
+//     leadership.step(now, wall); // only while the election reports this instance as leader
+//     if (leadership.isLost()) ...
 //
-// In order: fence records of earlier terms; read the jobs and the plans to where they
-// ended then; hand all of it to a planner; then carry out its orders. When it is destroyed, every call
-// that is under way is broken off; what was sent already may still arrive, which
-// the planner's rules allow for.
+// A term fences the appends of earlier terms, reads the streams of jobs and plans up to their
+// ends at that time, creates a planner from them, and then executes the planner's orders.
+// The destructor aborts all calls in flight. Orders that were already sent may still reach
+// their workers; the planner's protocol allows for that.
 
 #include "base/metrics.h"
 #include "delivery/direct_channel.h"
@@ -30,7 +30,7 @@
 
 namespace rattan::instance {
 
-// What a term works with; all of it outlives the term.
+// The dependencies of a term. All of them must outlive it.
 struct TermServices {
     http::AsyncClient& client;
     const StoreProtocol& store;
@@ -38,7 +38,7 @@
     delivery::RelayRoster& roster;
     delivery::DeliveryPort& port;
     const Clock& clock;
-    const tasks::Election& election; // Asked again before each order.
+    const tasks::Election& election; // Checked again before each order is sent.
     const InstanceSettings& settings;
     Metrics& metrics;
 };
@@ -53,14 +53,14 @@
     void applyCatalog(std::shared_ptr<const tasks::Catalog>);
     void jobChanged(const tasks::JobTable::Change&, Millis now, Millis wall);
 
-    // Everything appended to the jobs' stream before `at` is in the table.
+    // Reports that the job table contains every record that was appended before `at`.
     void jobsConfirmed(Millis at, Millis now, Millis wall);
 
-    // Everything appended to the stream of plans before `at` is in its table.
+    // Reports that the plan table contains every record that was appended before `at`.
     void plansConfirmed(Millis at, Millis now, Millis wall);
     bool needsPlans() const { return this->plansAppender.fencedAt() > 0 && !this->plansLoaded; }
 
-    // True while the term cannot begin until the jobs' stream was read further.
+    // True while planning cannot begin until the jobs stream is read further.
     bool needsJobsRead() const { return this->jobsAppender.fencedAt() > 0 && !this->jobsLoaded; }
 
     void step(Millis now, Millis wall);
@@ -69,11 +69,11 @@
     std::int64_t term() const { return this->termNumber; }
     bool isPlanning() const { return this->planner != nullptr; }
 
-    // What instances tell that carry orders for this one.
+    // Events of the instances that relay orders for this one.
     void answersArrived(const delivery::AnswersArrived& answers, Millis now) { this->channel.arrived(answers, now); }
     void peerLost(const delivery::PeerLost&, Millis now);
 
-    // What is read of the list of workers.
+    // StreamHandler, for the stream of workers.
     void recordRead(Stream, const StoreRecord&, Millis now) override;
     void loadBegun(Stream) override;
     void streamConfirmed(Stream, std::int64_t end, Millis confirmedAt, Millis now) override;
@@ -114,13 +114,13 @@
     TermAppender jobsAppender;
     TermAppender plansAppender;
     const tasks::PlanTable& plans;
-    bool jobsLoaded { false }; // As they were when earlier terms could not append any more,
-    bool plansLoaded { false }; // and so are the plans.
-    std::int64_t batchInFlight { 0 }; // 0: none.
+    bool jobsLoaded { false }; // The job table contains all appends of earlier, now fenced, terms.
+    bool plansLoaded { false }; // The same for the plan table.
+    std::int64_t batchInFlight { 0 }; // Number of the batch, or 0 if there is none.
     Millis batchSentAt { 0 };
     Millis nextForgetAt { 0 };
-    Millis nextPlanAt { 0 }; // Of the planner.
-    Millis nextPollsAt { 0 }; // Of those that were left over in its turn.
+    Millis nextPlanAt { 0 }; // Earliest time of the next planner run.
+    Millis nextPollsAt { 0 }; // Earliest time to send polls that the last planner run left over.
     bool termLost { false };
 };
 
--- a/src/instance/planner_watch.h
+++ b/src/instance/planner_watch.h
@@ -1,24 +1,22 @@
 #pragma once
 
-// Notices that the planner is gone before its term runs out: the planner sends a
-// heartbeat to whoever asked for it, and whoever misses a few takes it as gone. Decides
-// only; datagrams are carried by the caller.
+// Detects a failed planner before its term expires. The planner sends heartbeats to the
+// instances that requested them, and an instance that misses several of them considers the
+// planner failed. This class only decides; its owner sends and receives the datagrams.
 //
 //     PlannerWatch watch;
-//     watch.claimed({ 7, "10.1.0.7:7000" }, now);           // read of the log of claims
-//     for (const WatchMessage& message : watch.step(leads, now)) send(message.peer, message.text);
+//     watch.plannerChanged({ 7, "10.1.0.7:7000" }, now); // read from the stream of claims
+//     for (const WatchMessage& message : watch.step(term, renewalFailed, now)) send(message.peer, message.text);
 //     watch.received("10.1.0.7:7000", "beat 7", now);
-//     if (watch.plannerGone(now)) ...                        // claim at once
+//     if (watch.hasPlannerFailed(now)) ...               // claim immediately
 //
-// What goes wrong without it: where the planner is killed, cut off or turned away by
-// the store, nothing is placed for the 1.25 s after which its claim may be followed; an
-// urgent job has about 1.5 s to spare. A planner that is taken as gone and is not loses
-// its term to the one that follows and nothing else: workers and the store refuse the
-// lower term, whoever was too early.
+// Failure that this prevents: if the planner is killed, cut off or rejected by the store,
+// nothing is placed for the 1.25 s after which another instance may claim, while an urgent
+// job can afford about 1.5 s. A false detection costs the planner its term and has no other
+// effect: workers and the store reject the lower term.
 //
-// Limits: a planner serves `mostWatchers`, and forgets those that do not ask again; an
-// instance that gets no heartbeat waits for the term as if there were none. Not
-// thread-safe.
+// Limits: a planner serves `maxWatchers` watchers and drops those that do not repeat their
+// request. An instance without heartbeats waits for the end of the term. Not thread-safe.
 
 #include "base/clock.h"
 
@@ -31,7 +29,7 @@
 
 struct WatchedPlanner {
     std::int64_t term { 0 };
-    std::string peer; // IP:PORT where it takes datagrams; empty: unknown, or nobody plans.
+    std::string peer; // IP:PORT for datagrams; empty if unknown, if no instance plans, or if it is this instance.
 };
 
 struct WatchMessage {
@@ -41,50 +39,50 @@
 
 class PlannerWatch {
 public:
-    // Short against what an urgent job has to spare.
+    // Short compared to the delay that an urgent job can afford.
     static constexpr Millis heartbeatInterval = 100;
 
-    // Four heartbeats; one datagram in forty is lost on the worst links that we know of.
+    // Four heartbeats. The worst known links lose one datagram in forty.
     static constexpr Millis heartbeatTimeout = 450;
 
-    // Enough that one of them reaches the store in most cuts; more only cost.
+    // Enough that in most network failures one watcher reaches the store; more only add load.
     static constexpr std::size_t maxWatchers = 12;
 
-    // The newest claim; of this instance itself, peer is empty.
+    // Reports the newest claim. `peer` is empty if this instance holds it.
     void plannerChanged(const WatchedPlanner&, Millis now);
 
     void received(const std::string& peer, const std::string& text, Millis now);
 
-    // What to send now. `term` is the one that this instance plans in, 0 if it does not.
-    // A planner that failed to renew its claim is about to lose it, and says so.
+    // Returns the messages to send now. `term` is the term in which this instance plans, or 0 if
+    // it does not plan. A planner that failed to renew its claim announces that its term ends.
     std::vector<WatchMessage> step(std::int64_t term, bool renewalFailed, Millis now);
 
-    // The planner has sent heartbeats and no more, or has said that it gives up.
+    // True if the planner's heartbeats stopped, or if it announced the end of its term.
     bool hasPlannerFailed(Millis now) const;
 
 private:
-    // Watchers ask this often, and are served for this long after they asked.
+    // Watchers repeat their request at this interval, and get heartbeats for this long after it.
     static constexpr Millis watchRequestInterval = 1000;
     static constexpr Millis watcherExpiry = 3500;
 
-    // Heartbeats before silence means anything: the first may come while the path is
-    // being set up.
+    // Required before missing heartbeats count, since the first one may arrive while the network
+    // path is still being set up.
     static constexpr int minHeartbeats = 2;
 
-    // A planner that follows one that led for less than this is let alone for as long:
-    // taking over beside hundreds of workers takes a second in which heartbeats may fail
-    // to come, and one that is taken as gone meanwhile would be followed by the next in
-    // the same state, so that nobody ever gets to plan.
+    // If the previous planner held its term for less than this, detection is disabled for the
+    // same time. Taking over hundreds of workers takes a second in which heartbeats may be
+    // missing. Without the delay, each new planner would be replaced in that state, and no
+    // planner would ever begin to plan.
     static constexpr Millis shortTermLimit = 3000;
 
     WatchedPlanner planner;
     Millis claimedAt { 0 };
-    Millis detectionStartsAt { 0 }; // Before then silence says nothing.
+    Millis detectionStartsAt { 0 }; // Missing heartbeats are ignored before this time.
     int heartbeatCount { 0 };
     Millis lastHeartbeatAt { 0 };
     bool endReceived { false };
     Millis nextWatchRequestAt { 0 };
-    std::map<std::string, Millis> watchers; // And when they asked last.
+    std::map<std::string, Millis> watchers; // Time of the last request, by address.
     Millis nextHeartbeatAt { 0 };
     bool endSent { false };
 };
--- a/src/instance/program.cc
+++ b/src/instance/program.cc
@@ -1,5 +1,5 @@
-// Threads: one for each caller's connection, which decodes, asks the control loop
-// and encodes; the control loop; and this one, which waits for signals.
+// Threads: one for each caller's connection, which parses requests, passes them to the control
+// loop and encodes the answers; the control loop; and the main thread, which waits for signals.
 
 #include "instance/program.h"
 
@@ -18,13 +18,13 @@
     constexpr int badSettingsExitCode = 2;
     constexpr int startFailedExitCode = 1;
 
-    constexpr std::int64_t maxBodyBytes = 512 * 1024; // Bytes; the operators' configuration allows less, and is checked first.
-    constexpr std::int64_t maxCallerConnections = 400; // Connections, each with a thread of about 60 KB: 24 MB.
-    constexpr std::int64_t maxProbeConnections = 16; // Connections of the balancer and of who reads metrics.
-    constexpr std::int64_t callerIdleSeconds = 20; // Longer than the operators' configuration lets a caller be idle.
+    constexpr std::int64_t maxBodyBytes = 512 * 1024; // The operators' configuration allows less and is checked first.
+    constexpr std::int64_t maxCallerConnections = 400; // Each has a thread of about 60 KB: 24 MB.
+    constexpr std::int64_t maxProbeConnections = 16; // For the load balancer and the metrics collector.
+    constexpr std::int64_t callerIdleSeconds = 20; // Longer than the idle time that the operators' configuration allows callers.
 
     constexpr Millis pollInterval = 20;
-    constexpr Millis probesCloseTimeout = 100; // Their answers need no waiting.
+    constexpr Millis probesCloseTimeout = 100; // Their answers are immediate.
 
     http::Answer readiness(const ControlLoop& loop)
     {
@@ -84,9 +84,9 @@
             logEvent(events::reloaded, { { "store", newSettings.value->storeAddress } });
         }
 
-        // A planned stop: the balancer is told, the term is handed over, and callers are
-        // served until no new one comes; each answer ends its connection. Then what is in
-        // progress is answered.
+        // Planned shutdown: readiness checks fail, the term is resigned, and callers are served
+        // until the balancer sends no new ones; each answer closes its connection. Then the
+        // requests in progress are answered.
         void drain()
         {
             logEvent(events::stopping, { { "grace_ms", this->settings.grace } });
--- a/src/instance/program.h
+++ b/src/instance/program.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// rattan-instance: everything of rattanrock on an instance of the platform. It
-// serves callers, and one of all instances plans at a time.
+// The program rattan-instance, which is all of rattanrock on an instance of the platform. Every
+// instance serves callers, and one of them plans at a time.
 
 #include "base/error.h"
 #include "instance/control_loop.h"
@@ -11,10 +11,10 @@
 
 namespace rattan::instance {
 
-// Reads the settings file; called at the start and on each signal to reload.
+// Reads the settings file. Called at startup and on each reload signal.
 using ReadSettings = std::function<Result<InstanceSettings>()>;
 
-// Serves until a signal to stop; returns the exit code.
+// Serves until the stop signal; returns the exit code.
 int runInstance(const ReadSettings&, Protocols);
 
 } // namespace rattan::instance
--- a/src/instance/request_forwarder.cc
+++ b/src/instance/request_forwarder.cc
@@ -10,11 +10,11 @@
 
 namespace {
 
-    constexpr Millis defaultCallerTimeout = 3000; // Of callers that do not tell theirs.
-    constexpr Millis responseMargin = 300; // Of a caller's patience, for the way back.
-    constexpr Millis maxForwardTime = 1500; // An append at a slow store and a retry of it.
-    constexpr Millis minForwardTime = 100; // With less left, a caller hears sooner by coming back.
-    constexpr std::chrono::milliseconds connectTimeout { 250 }; // Ten times the way there and back between distant failure domains.
+    constexpr Millis defaultCallerTimeout = 3000; // For callers that do not send a timeout.
+    constexpr Millis responseMargin = 300; // Part of the caller's timeout that is reserved for sending the answer.
+    constexpr Millis maxForwardTime = 1500; // Enough for an append at a slow store and one retry.
+    constexpr Millis minForwardTime = 100; // With less time left, a retry by the caller is faster.
+    constexpr std::chrono::milliseconds connectTimeout { 250 }; // Ten round trips between distant failure domains.
 
 } // namespace
 
--- a/src/instance/request_forwarder.h
+++ b/src/instance/request_forwarder.h
@@ -1,20 +1,20 @@
 #pragma once
 
-// Passes callers' requests on to another instance, while this one is cut off from the
-// store and that one is not.
+// Forwards callers' requests to another instance while this instance cannot reach the store
+// and the other one can.
 //
-//     Relay relay(client, protocol, clock, "10.1.0.7:8287");
-//     relay.planned("10.2.0.9:8287");
-//     if (relay.wants(request, answer, waited))
-//         relay.pass(request, answer, waited, [&](const CallerAnswer& final) { ... });
+//     RequestForwarder forwarder(client, protocol, clock, "10.1.0.7:8287");
+//     forwarder.plannerSeen("10.2.0.9:8287");
+//     if (forwarder.shouldForward(request, answer, waitTime))
+//         forwarder.forward(request, answer, waitTime, [&](const CallerAnswer& final) { ... });
 //
-// What goes wrong without it: the store turns some instances away, and whoever is
-// connected to one of these is told to come back in a second, or hears states from
-// before the cut; an urgent job has a second and a half to spare. One notices by
-// refusals on some instances only. A request is passed on once at the most: the
-// instance that gets it answers itself. An answer is never made worse: where this
-// instance does not know what became of a request, a refusal of the other one does not
-// say that it never ran. Handlers run on the thread of the client.
+// Failure that this prevents: the store rejects some instances. Their callers are told to
+// retry in a second, or get job states from before the cut, while an urgent job can afford a
+// delay of 1.5 s. The symptom is refusals on some instances only.
+//
+// A request is forwarded at most once: the instance that receives it answers it. Forwarding
+// never weakens an answer: if the outcome of a request is unknown here, a refusal of the
+// other instance does not turn it into "not run". Handlers run on the client's thread.
 
 #include "http/async_client.h"
 #include "instance/caller_protocol.h"
@@ -32,17 +32,18 @@
 
     RequestForwarder(http::AsyncClient&, const CallerProtocol&, const Clock&, std::string ownAddress);
 
-    // The instance at this address holds the newest claim.
+    // Reports that the instance at this address holds the newest claim.
     void plannerSeen(const std::string& address) { this->peers.plannerSeen(address); }
 
-    // This instance stops: no answer is waited for after that.
+    // Sets the time after which no answer of another instance is awaited. Used at shutdown.
     void setAnswerDeadline(Millis at) { this->answerDeadline = at; }
 
-    // Whether another instance may know better than this answer, and there is time to
-    // ask it; the caller has waited so long already.
+    // Whether another instance may have a better answer and there is enough time to get it.
+    // `waitTime` is how long the caller has waited already.
     bool shouldForward(const CallerRequest&, const CallerAnswer&, Millis waitTime) const;
 
-    // Calls the handler exactly once: with the other's answer, or with the given one.
+    // Forwards the request and calls the handler exactly once, with the answer that results
+    // from the other instance's answer and this instance's own one.
     void forward(const CallerRequest&, const CallerAnswer& ownAnswer, Millis waitTime, Handler);
 
 private:
--- a/src/instance/shutdown_schedule.cc
+++ b/src/instance/shutdown_schedule.cc
@@ -6,17 +6,17 @@
 
 namespace {
 
-    // The balancer asks once a second and acts on the second miss.
+    // The load balancer checks once a second and reacts to the second failed check.
     constexpr Millis balancerDetectionTime = 2600;
 
-    // For an append of a request that came last; where the grace is short, the
-    // balancer gets less.
+    // Reserved for the append of the last request. With a short grace period, the balancer's
+    // share is reduced instead.
     constexpr Millis lastAppendTime = 700;
 
-    // A turn of the control loop, and the way of an answer to its caller's socket.
+    // An iteration of the control loop, and the write of an answer to its caller's socket.
     constexpr Millis responseWriteTime = 300;
 
-    // For the threads and the log to end, also with little processor time.
+    // For the threads and the log to finish, even with little processor time.
     constexpr Millis processExitTime = 500;
 
 } // namespace
--- a/src/instance/store_protocol.h
+++ b/src/instance/store_protocol.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// How the platform's store is spoken to: an append-only log of streams, of which
-// the newest record of each key is kept for good. Implemented where the
-// platform's names are known; this side knows only streams and records.
+// The protocol of the platform's store: append-only streams that keep the newest record of each
+// key permanently. Implemented in platform/, which knows the names on the wire; this folder
+// uses only streams and records.
 
 #include "base/clock.h"
 #include "base/error.h"
@@ -17,23 +17,23 @@
 namespace rattan::instance {
 
 enum class Stream {
-    Configuration, // The operators' configuration; read only.
-    Workers, // What workers say of themselves; read only.
-    Jobs, // Jobs, their cancelling and what callers are shown.
-    Claims, // Which instance plans.
-    Plans, // How far jobs are that are not over, for whoever takes over planning.
+    Configuration, // The operators' configuration; read-only.
+    Workers, // What workers publish about themselves; read-only.
+    Jobs, // Jobs, cancels, and the states that callers see.
+    Claims, // Claims of the planning instance.
+    Plans, // Progress of unfinished jobs, for the next planner.
 };
 
 std::string_view nameOf(Stream);
 
 struct StoreRecord {
     std::string key;
-    std::string value; // Empty: the key is dropped.
+    std::string value; // If empty, the record deletes the key.
     std::int64_t offset { 0 };
 };
 
-// Appends of one producer are taken in the order of their numbers, each once,
-// and not at all after an append of a later epoch.
+// The store accepts the appends of a producer in the order of their numbers, each once, and
+// rejects them after an append of a later epoch.
 struct Producer {
     std::string name;
     std::int64_t epoch { 0 };
@@ -41,31 +41,31 @@
 };
 
 struct AppendConditions {
-    std::optional<std::int64_t> expectedEnd; // Only if the log ends there.
+    std::optional<std::int64_t> expectedEnd; // The append is executed only if the stream ends at this offset.
     std::optional<Producer> producer;
 };
 
 enum class AppendStatus {
     Appended,
-    Elsewhere, // The log ends elsewhere; a lost answer to this very append may be why.
+    Elsewhere, // The stream ends at another offset, possibly because this append succeeded and its response was lost.
     Fenced, // A later epoch has begun.
-    WrongNumber, // Of the producer; `expected` tells the right one.
+    WrongNumber, // The producer's number is wrong; AppendReply::expected is the right one.
     NotDone,
-    Unknown, // It may have been done, or may be later.
+    Unknown, // The append may have been executed, or may be executed later.
 };
 
 std::string_view nameOf(AppendStatus);
 
 struct AppendReply {
     AppendStatus status { AppendStatus::Unknown };
-    std::int64_t end { -1 }; // Of the log, where told.
+    std::int64_t end { -1 }; // End of the stream, or -1 if unknown.
     std::int64_t expected { -1 };
 };
 
 struct ReadReply {
     std::int64_t end { 0 };
     std::vector<StoreRecord> records;
-    bool dropped { false }; // The records asked for are not kept any more.
+    bool dropped { false }; // The requested records are no longer kept.
 };
 
 struct NewestPage {
@@ -78,7 +78,7 @@
 public:
     virtual ~StoreProtocol() = default;
 
-    // The time-outs of the calls are set by the caller.
+    // The caller of these functions sets the timeouts of the calls.
     virtual http::Call append(Stream, const std::vector<StoreRecord>&, const AppendConditions&) const = 0;
     virtual AppendReply parseAppend(const http::Reply&) const = 0;
 
--- a/src/instance/stream_reader.cc
+++ b/src/instance/stream_reader.cc
@@ -1,6 +1,6 @@
-// Pages of a load are no snapshot: records may be appended between two of them.
-// So reading goes on from where the stream ended at the first page, and the
-// handler keeps the record with the higher offset.
+// The pages of a load are not a snapshot, since records may be appended between two pages.
+// Reads therefore continue from the end of the stream as of the first page, and the handler
+// keeps the record with the higher offset.
 
 #include "instance/stream_reader.h"
 
@@ -10,8 +10,8 @@
 
 namespace {
 
-    // After a call that failed, doubling up to the longest: a store that is down
-    // answers no sooner for being asked more, and every call has its price.
+    // Delay after a failed call, doubled up to the maximum. More calls do not make an unavailable
+    // store answer earlier, and each has a cost.
     constexpr Millis minRetryDelay = 50;
     constexpr Millis maxRetryDelay = 400;
 
@@ -38,9 +38,9 @@
         this->read(this->shouldWait() ? this->options.wait : 0, false);
 }
 
-// The first read after a failure does not wait: it would confirm only when its wait is
-// over that nothing has changed. Until then the operators' configuration counts as unknown,
-// and every caller with a key is turned away.
+// The first read after a failure does not wait, since a waiting read would confirm an unchanged
+// stream only at the end of its wait. Until then, the operators' configuration counts as
+// outdated, and every caller with a key is refused.
 bool StreamReader::shouldWait() const { return this->options.readInterval == 0 && this->retryDelay == 0; }
 
 void StreamReader::probe()
@@ -117,7 +117,7 @@
     const Millis now = this->clock.now();
     this->retryDelay = 0;
     if (this->loading)
-        return; // A probe that was overtaken by a load.
+        return; // The response belongs to a probe, and a load has begun since.
     if (read.value->dropped) {
         this->nextOffset = -1;
         return;
@@ -131,7 +131,7 @@
     this->nextReadAt = now + this->options.readInterval;
     if (!read.value->records.empty())
         this->batchUntil = now + this->options.batchInterval;
-    // An answer without records was given when its wait was over.
+    // A response without records was sent at the end of the wait, and confirms that time.
     const bool waitExpired = read.value->records.empty() && now - sentAt >= wait;
     if (this->nextOffset >= read.value->end)
         this->confirm(waitExpired ? sentAt + wait : sentAt);
--- a/src/instance/stream_reader.h
+++ b/src/instance/stream_reader.h
@@ -1,17 +1,14 @@
 #pragma once
 
-// Follows one stream of the store: loads the newest record of each key, then
-// reads on from there, and loads again when what it was to read is not kept any
-// more.
+// Follows one stream of the store: loads the newest record of each key, then reads the
+// following records. If the next records are no longer kept, it loads again.
 //
-//     StreamReader reader(client, protocol, { .stream = Stream::Jobs, .address = store }, handler);
-//     reader.start(now);
-//     reader.step(now);                  // at least ten times a second
+//     StreamReader reader(client, protocol, clock, { .stream = Stream::Jobs, .address = store }, handler);
+//     reader.step(now); // at least ten times a second
 //
-// Every record is told at least once, with its offset; after a reload also
-// records that were told before. confirmedAt() is a time such that whatever was
-// appended before it has been told. One call at a time is under way, and a second
-// one after probe(). On the thread of its client.
+// The handler gets every record at least once, with its offset; a reload repeats earlier
+// records. Every record that was appended before confirmedAt() has been delivered. One call
+// is in flight at a time, and a second one after probe(). Use it only on the client's thread.
 
 #include "http/async_client.h"
 #include "instance/store_protocol.h"
@@ -24,10 +21,10 @@
 struct StreamReaderOptions {
     Stream stream { Stream::Jobs };
     std::string address;
-    Millis wait { 1000 }; // How long a read may wait for a record: what the caller may hear late of a silent connection.
-    Millis readInterval { 0 }; // Between two reads that do not wait; for streams that change all the time.
-    Millis batchInterval { 0 }; // After records were read, so that those that follow closely share a read; nobody waits for them.
-    Millis timeout { 1200 }; // Beyond the wait; answers take a few milliseconds on good days.
+    Millis wait { 1000 }; // How long a read may wait for a record. Also delays the detection of a silent connection.
+    Millis readInterval { 0 }; // Between two reads, which then do not wait; for streams that change continuously. 0: reads wait.
+    Millis batchInterval { 0 }; // After a read with records, so that closely following records share a read. Not used in low-latency mode.
+    Millis timeout { 1200 }; // In addition to the wait. Responses usually take a few milliseconds.
 };
 
 class StreamHandler {
@@ -35,10 +32,10 @@
     virtual ~StreamHandler() = default;
     virtual void recordRead(Stream, const StoreRecord&, Millis now) = 0;
 
-    // Loading begins anew: keys that are not told again are gone.
+    // A load begins. Keys that it does not deliver no longer exist.
     virtual void loadBegun(Stream) = 0;
 
-    // The reader is where the stream ended at `end`.
+    // The reader has delivered the stream up to its end, at offset `end`.
     virtual void streamConfirmed(Stream, std::int64_t end, Millis confirmedAt, Millis now) = 0;
     virtual void streamFailed(Stream, const std::string& why, Millis now) = 0;
 };
@@ -49,10 +46,10 @@
 
     void step(Millis now);
 
-    // Reads at once, beside a read that waits for records.
+    // Reads immediately, in parallel to a read that waits for records.
     void probe();
 
-    // While somebody waits for the next record, it is read as soon as it is there.
+    // In low-latency mode, records are read as soon as they are appended, without batching.
     void setLowLatency(bool lowLatency) { this->lowLatency = lowLatency; }
 
     Millis confirmedAt() const { return this->confirmedTime; }
@@ -73,9 +70,9 @@
     const StreamReaderOptions options;
     StreamHandler& handler;
 
-    std::int64_t nextOffset { -1 }; // The offset to read from; below 0: nothing loaded yet.
+    std::int64_t nextOffset { -1 }; // The offset of the next read; negative if a load is needed first.
     bool loading { false };
-    std::string lastLoadedKey; // The last key of the last page.
+    std::string lastLoadedKey; // The last key of the previous page.
     std::int64_t loadEnd { -1 };
     Millis loadSentAt { 0 };
     bool callInFlight { false };
--- a/src/instance/term_appender.cc
+++ b/src/instance/term_appender.cc
@@ -6,18 +6,17 @@
 
 namespace {
 
-    // The name under which planners append; terms are its epochs.
+    // The producer name of all planners. The term is the epoch.
     constexpr const char* plannerProducerName = "planner";
 
-    // Answers take milliseconds; longer than this they are taken as lost. Short enough
-    // for a second try within a term.
+    // Responses take milliseconds; after this time a response counts as lost. Short enough for a
+    // retry within a term.
     constexpr std::chrono::milliseconds appendTimeout { 800 };
     constexpr std::chrono::milliseconds connectTimeout { 500 };
 
-    constexpr Millis appendRetryDelay = 60; // After an append that the store did not take.
+    constexpr Millis appendRetryDelay = 60; // After a failed append.
 
-    // Of one append: well below what the store takes at once, and little enough to arrive in
-    // time over a thin link.
+    // Well below the store's limit, and small enough to arrive in time over a slow link.
     constexpr std::size_t maxBytesPerAppend = 256 << 10;
 
 } // namespace
@@ -75,7 +74,7 @@
         this->retryAt = now + appendRetryDelay;
 }
 
-// Each part is repeated as it is until its fate is known, so it must not depend on the time.
+// A part is repeated unchanged until its outcome is known, so its size must not depend on the time.
 std::vector<StoreRecord> TermAppender::nextPart() const
 {
     std::size_t bytes = 0;
@@ -108,8 +107,8 @@
         return;
     }
     logEvent(events::appendFailed, { { "stream", nameOf(this->stream) }, { "status", nameOf(status) }, { "records", sent } });
-    // Something else was appended in this epoch, such as a fence carried out late. A new
-    // term starts from what the log holds and numbers anew.
+    // WrongNumber: another append has this epoch, such as a fence that was executed late. A new
+    // term starts from the records in the store, with new sequence numbers.
     if (status == AppendStatus::Fenced || status == AppendStatus::WrongNumber)
         this->termLost = true;
     this->retryAt = this->clock.now() + appendRetryDelay;
--- a/src/instance/term_appender.h
+++ b/src/instance/term_appender.h
@@ -1,18 +1,19 @@
 #pragma once
 
-// What the planner of a term appends to one stream.
+// Appends the records of one planning term to one stream.
 //
-//     TermAppender stream(Stream::Plans, term, client, store, clock, address, metrics);
-//     stream.step(now);                        // in each turn: fences first, then appends
-//     if (stream.fencedAt() > 0) ...           // appends of earlier terms have no effect any more
-//     stream.append(records);                  // one batch at a time
-//     if (stream.isIdle()) ...                 // all of it is durable
-//     if (stream.isLost()) ...                 // a later term has begun, or may have
+//     TermAppender appender(Stream::Plans, term, client, store, clock, address, metrics);
+//     appender.step(now);              // in each iteration: fences first, then appends
+//     if (appender.fencedAt() > 0) ... // appends of earlier terms can no longer take effect
+//     appender.append(records);        // one batch at a time
+//     if (appender.isIdle()) ...       // the whole batch is durable
+//     if (appender.isLost()) ...       // a later term has begun, or may have begun
 //
-// A large batch goes out in parts, one after the other and each with a number of its own. A
-// part goes out again, with the same number, until its fate is known: the store tells a
-// repeat what became of the first. Its calls are of the group that is in use when step() is
-// called, and must be abandoned before it is destroyed. On the thread of the client.
+// A large batch is sent in parts, sequentially, each with its own sequence number. A part is
+// repeated with the same number until its outcome is known: the store answers a repeat with
+// the outcome of the first transmission. Calls belong to the client's group that is in use
+// when step() is called, and must be abandoned before the object is destroyed. Use it only
+// on the client's thread.
 
 #include "base/metrics.h"
 #include "http/async_client.h"
@@ -51,7 +52,7 @@
     const Clock& clock;
     const std::string address;
     Metrics& metrics;
-    std::vector<StoreRecord> pendingRecords; // Of the batch that is not durable yet.
+    std::vector<StoreRecord> pendingRecords; // The part of the current batch that is not durable yet.
     Millis fenceTime { 0 };
     std::int64_t nextSequenceNumber { 1 };
     bool callInFlight { false };
--- a/src/instance/testing/gateway_test.cc
+++ b/src/instance/testing/gateway_test.cc
@@ -17,7 +17,7 @@
 const std::string testJobId = "5c0e7a21d94b36f8";
 const std::string testJobKey = "job/" + testJobId;
 
-// Bodies are of no interest to the gateway: any but "bad" is a job of one task.
+// Parses every body except "bad" as a job with one step, since the gateway ignores the content.
 class FakeCallerProtocol final : public CallerProtocol {
 public:
     CallerRequest parseRequest(const http::Request&) const override { return {}; }
@@ -89,18 +89,18 @@
     {
         this->request(1, RequestKind::Submit, startTime);
         this->gateway->takeRecords(100, 1 << 20);
-        this->request(2, RequestKind::Submit, startTime + 1); // While the first is under way.
+        this->request(2, RequestKind::Submit, startTime + 1); // While the first append is in flight.
         CPPUNIT_ASSERT(this->gateway->takeRecords(100, 1 << 20).empty());
         this->gateway->appendCompleted({ testJobKey }, AppendStatus::Appended, startTime + 5);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, this->gateway->takeAnswers().size());
         this->applyJobRecord();
-        this->request(3, RequestKind::Submit, startTime + 10); // Seconds after.
+        this->request(3, RequestKind::Submit, startTime + 10); // After the record was read back.
         this->expect(3, Outcome::Accepted);
         CPPUNIT_ASSERT(this->gateway->takeRecords(100, 1 << 20).empty());
     }
 
-    // The store has stored the job and its answer is lost. A caller who is told "not
-    // run" books elsewhere, and pays for two carriages.
+    // The store stores the job and its response is lost. If the caller got a refusal, it would
+    // submit the same work elsewhere and pay for it twice.
     void lostAppendResponseYieldsUnknownOutcome()
     {
         this->request(1, RequestKind::Submit, startTime);
@@ -109,8 +109,8 @@
         this->expect(1, Outcome::Unknown);
     }
 
-    // A caller cancelled a job whose outcome was unknown, heard that there is none, and the
-    // append was carried out after that: the job ran although its cancelling was answered.
+    // Guards against "no such job" for a cancel while the submission of the job is unresolved:
+    // the store may execute the append later, and the job would run despite the cancel.
     void cancelIsNotDeniedWhileSubmitIsUnresolved()
     {
         this->request(1, RequestKind::Submit, startTime);
@@ -120,10 +120,10 @@
         this->request(2, RequestKind::Cancel, startTime + 800);
         this->confirmReads(startTime + 900);
         this->expect(2, Outcome::Unknown);
-        // Without the store it would be passed on, and denied there.
+        // The store is unreachable. A refusal would be forwarded, and a peer would deny the job.
         this->request(4, RequestKind::Cancel, startTime + 2500);
         this->expect(4, Outcome::Unknown);
-        // There surely is no other one.
+        // A job that was never submitted here cannot be stored.
         this->request(3, RequestKind::Cancel, startTime + 2500, "/p/0000000000000001");
         this->expect(3, Outcome::NotNow);
         this->confirmReads(startTime + 2600);
@@ -141,8 +141,8 @@
         this->expect(1, Outcome::Accepted);
     }
 
-    // A first try may still be carried out by the store, seconds later. A second one
-    // that is refused must not be told that the job never runs.
+    // The store may still execute the first append seconds later, so a failed retry must not
+    // be answered with "not run".
     void retryIsNotRefusedWhileEarlierAppendIsUnresolved()
     {
         this->request(1, RequestKind::Submit, startTime);
@@ -153,15 +153,15 @@
         this->gateway->takeRecords(100, 1 << 20);
         this->gateway->appendCompleted({ testJobKey }, AppendStatus::NotDone, startTime + 1010);
         this->expect(2, Outcome::Unknown);
-        // Another job was never tried, and is refused in so many words.
+        // Another job was never appended before, and gets a plain refusal.
         this->request(3, RequestKind::Submit, startTime + 1100, "/p/0000000000000001");
         this->gateway->takeRecords(100, 1 << 20);
         this->gateway->appendCompleted({ "job/0000000000000001" }, AppendStatus::NotDone, startTime + 1110);
         this->expect(3, Outcome::NotNow);
     }
 
-    // A job whose first try was under way was told "never runs" for a configuration that
-    // had yet to be read.
+    // Guards against "not run" for a job whose first append is in flight, given because a newer
+    // configuration has not been read yet or the known one is too old.
     void staleConfigurationDoesNotRefuseUnresolvedJob()
     {
         this->request(1, RequestKind::Submit, startTime);
@@ -172,29 +172,29 @@
         this->gateway->configurationUpdated(this->catalogWith(2, "key"));
         this->request(3, RequestKind::Submit, startTime + 4001);
         this->expect(3, Outcome::Unknown);
-        this->request(4, RequestKind::Submit, startTime + 4001, "/p/0000000000000001"); // Never tried.
+        this->request(4, RequestKind::Submit, startTime + 4001, "/p/0000000000000001"); // Never submitted before.
         this->expect(4, Outcome::NotNow);
     }
 
-    // Two tries came at the same time; one was told "never runs", the other one's record
-    // was stored.
+    // Guards against "not run" for one of two concurrent submissions of a job while the other
+    // still waits for the same record, which may be stored.
     void timeoutDoesNotRefuseWhileSameRecordIsPending()
     {
         this->request(1, RequestKind::Submit, startTime);
         this->gateway->handleRequest(2, { .kind = RequestKind::Submit, .host = "h", .path = "/p/" + testJobId, .apiKey = "key", .timeout = 400, .body = "job" }, startTime, startTime);
         this->gateway->step(startTime + 100);
         this->expect(2, Outcome::Unknown);
-        this->request(3, RequestKind::Submit, startTime + 1500); // The store is out of reach by then.
+        this->request(3, RequestKind::Submit, startTime + 1500); // The store counts as unreachable by then.
         this->expect(3, Outcome::Unknown);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, this->gateway->takeRecords(100, 1 << 20).size());
         this->request(4, RequestKind::Submit, startTime + 1);
         this->gateway->appendCompleted({ testJobKey }, AppendStatus::NotDone, startTime + 1600);
         for (const GatewayAnswer& answer : this->gateway->takeAnswers())
-            CPPUNIT_ASSERT(answer.answer.outcome == Outcome::NotNow); // Nobody waits any more.
+            CPPUNIT_ASSERT(answer.answer.outcome == Outcome::NotNow); // No request waits for the record.
     }
 
-    // An append without an answer was carried out, and the log could not be read until the
-    // append was forgotten: the next try was told that the stored job never runs.
+    // The store executes an append without a response, and the jobs stream cannot be read. If
+    // the append were forgotten before the next read, a retry would get "not run" for a stored job.
     void unresolvedAppendIsKeptUntilJobsAreReadAgain()
     {
         this->request(1, RequestKind::Submit, startTime);
@@ -210,8 +210,8 @@
         this->expect(3, Outcome::NotNow);
     }
 
-    // A repeat of an accepted submit came before the record was read back, and was told that
-    // the job never runs.
+    // Guards against "not run" for a repeated submit that arrives after the acknowledgement of
+    // its record and before the record is read back.
     void storedRecordIsKnownBeforeItIsReadBack()
     {
         this->request(1, RequestKind::Submit, startTime);
@@ -229,7 +229,7 @@
         this->gateway->step(startTime + 5001);
         this->request(4, RequestKind::Submit, startTime + 5002);
         this->expect(4, Outcome::Accepted);
-        this->request(5, RequestKind::Submit, startTime + 10000); // The configuration is unknown by then.
+        this->request(5, RequestKind::Submit, startTime + 10000); // The configuration counts as outdated by then.
         this->expect(5, Outcome::Unknown);
     }
 
@@ -240,9 +240,9 @@
         CPPUNIT_ASSERT(this->gateway->takeRecords(100, 1 << 20).empty());
     }
 
-    // The store turns an instance away while operators add a queue and a key. Its callers
-    // were told for four seconds that there is neither, and took that for final. Another
-    // instance may know better; while the store is in reach, nobody else is asked.
+    // The store rejects one instance while operators add a queue and a key. For four seconds
+    // its callers would get a final "no such queue" or "unknown key". Such answers are marked,
+    // so that another instance is tried; while the store is reachable they are not marked.
     void outdatedConfigurationMarksAnswerForForwarding()
     {
         const auto givenWithoutStore = [this](Millis at, const std::string& path, const std::string& key) {
@@ -257,8 +257,8 @@
         CPPUNIT_ASSERT(givenWithoutStore(startTime + 1500, knownQueue, "other key"));
     }
 
-    // An instance is cut off from the store while an operator takes a key away. Its
-    // callers would go on with that key for as long as the cut lasts.
+    // An instance is cut off from the store while an operator revokes a key. Its callers could
+    // use the key for as long as the cut lasts.
     void revokedKeysExpireWithoutConfigurationReads()
     {
         this->applyJobRecord();
@@ -278,7 +278,7 @@
         this->request(1, RequestKind::State, startTime + 10);
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
         CPPUNIT_ASSERT(this->gateway->needsJobsRead());
-        this->gateway->jobsConfirmed(startTime + 9, startTime + 12); // Read before the question came.
+        this->gateway->jobsConfirmed(startTime + 9, startTime + 12); // Read before the request was received.
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
         this->gateway->jobsConfirmed(startTime + 11, startTime + 15);
         this->expect(1, Outcome::NoSuchJob);
@@ -313,7 +313,7 @@
         this->expect(5, Outcome::NoSuchMethod);
         this->request(6, RequestKind::State, startTime, "/p/");
         this->expect(6, Outcome::Pending);
-        this->request(8, RequestKind::State, startTime + 1900, "/p/"); // Jobs may have come meanwhile.
+        this->request(8, RequestKind::State, startTime + 1900, "/p/"); // The known number of jobs is outdated.
         this->expect(8, Outcome::NotNow);
         this->request(7, RequestKind::Submit, startTime, "/p/" + testJobId, "key", std::string(2000, 'x'));
         this->expect(7, Outcome::TooLarge);
@@ -351,9 +351,9 @@
         }
     }
 
-    // The instance is cut off, and another one that has heard of a new version of the
-    // text has just answered for it. From its own, older text it would tell the next
-    // caller that there is no such queue.
+    // The instance is cut off, and a peer with a newer configuration has just answered a request
+    // for it. With its own, older configuration it would tell the next caller that the queue
+    // does not exist.
     void configurationOlderThanOnPeersIsNotUsed()
     {
         this->gateway->requireConfigurationVersion(2);
@@ -364,9 +364,9 @@
         this->expect(2, Outcome::NoSuchQueue);
     }
 
-    // A caller asks just when its job ends, and the planner's record is some tens of
-    // milliseconds behind. Told "running" it comes back after its pause, and what was
-    // in time is late for it.
+    // A caller polls just when its job ends, and the planner's record arrives some tens of
+    // milliseconds later. With an immediate "running" the caller would see the end only after its
+    // next pause, and a job that was in time would be late for it.
     void stateRequestWaitsForEndOfRunningJob()
     {
         this->applyState(JobState::Running);
@@ -384,7 +384,7 @@
     {
         this->applyState(JobState::Running);
         this->request(1, RequestKind::State, startTime);
-        this->gateway->jobChanged(testJobId, startTime + 40); // A task of it ended.
+        this->gateway->jobChanged(testJobId, startTime + 40); // One of its tasks ended.
         this->gateway->step(startTime + 199);
         CPPUNIT_ASSERT(this->gateway->takeAnswers().empty());
         this->gateway->step(startTime + 200);
@@ -400,8 +400,8 @@
         this->expect(1, Outcome::State);
     }
 
-    // The connections close at a stop, and who waited on one of them would not know
-    // whether its job was accepted.
+    // Connections close at shutdown. A caller that still waits on one could not know whether
+    // its job was accepted.
     void requestsAreAnsweredBeforeShutdown()
     {
         const std::string other = "0123456789abcdef";
@@ -414,7 +414,7 @@
         this->gateway->step(startTime + 400);
         const auto answers = this->gateway->takeAnswers();
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, answers.size());
-        CPPUNIT_ASSERT(answers[0].answer.outcome == Outcome::Unknown); // Its append is under way.
+        CPPUNIT_ASSERT(answers[0].answer.outcome == Outcome::Unknown); // Its append is in flight.
         CPPUNIT_ASSERT(answers[1].answer.outcome == Outcome::NotNow);
         this->request(3, RequestKind::State, startTime + 450, "/p/" + other);
         this->gateway->step(startTime + 450);
--- a/src/instance/testing/planner_watch_test.cc
+++ b/src/instance/testing/planner_watch_test.cc
@@ -30,8 +30,8 @@
         this->watch.plannerChanged({ 7, planner }, startTime);
     }
 
-    // The planner's machine loses power. Jobs that come now wait for who follows it, and
-    // its term alone would make them wait 1.25 s.
+    // The planner's machine loses power. New jobs wait for the next planner, and waiting for the
+    // end of the term would take 1.25 s.
     void silentPlannerIsDetected()
     {
         this->receiveHeartbeats(startTime, 5);
@@ -48,8 +48,8 @@
         CPPUNIT_ASSERT(!this->watch.hasPlannerFailed(lastHeartbeatAt + PlannerWatch::heartbeatTimeout + 1));
     }
 
-    // Datagrams do not get through at all between some instances. These wait for the
-    // term; claiming again and again they would take planning from a sound planner.
+    // No datagrams arrive between some instances. Such an instance must wait for the end of the
+    // term; otherwise it would repeatedly replace a working planner.
     void plannerWithoutHeartbeatsIsNotReplaced()
     {
         CPPUNIT_ASSERT(!this->watch.hasPlannerFailed(startTime + 60000));
@@ -57,7 +57,7 @@
         CPPUNIT_ASSERT(!this->watch.hasPlannerFailed(startTime + 70000));
     }
 
-    // The store turns only the planner away. It knows at once, its watchers would not.
+    // The store rejects only the planner, which knows it immediately, unlike its watchers.
     void failedRenewalIsAnnounced()
     {
         PlannerWatch leading;
@@ -84,9 +84,9 @@
         CPPUNIT_ASSERT(this->watch.step(0, false, startTime + 60000).empty());
     }
 
-    // After a power cut hundreds of workers have to be polled anew, and the planner is too
-    // busy for its heartbeats. Followed at once, again and again, no planner gets through
-    // and no job starts any more.
+    // After a power failure, a new planner has to poll hundreds of workers and is too busy to send
+    // heartbeats. If each new planner were replaced immediately, none would ever finish and no
+    // job would start.
     void detectionIsDelayedAfterShortTerm()
     {
         this->watch.plannerChanged({ 8, watcher }, startTime + 1000);
@@ -103,7 +103,7 @@
         const Millis timeoutAt = startTime + 5 * PlannerWatch::heartbeatInterval + PlannerWatch::heartbeatTimeout + 1;
         for (const char* malformed : { "", "beat", "beat ", "beat 6", "beat 7x", "beat -7", "beat 99999999999999999999", "end 6", "end 7 " })
             this->watch.received(planner, malformed, timeoutAt);
-        this->watch.received(watcher, "beat 7", timeoutAt); // Not from who plans.
+        this->watch.received(watcher, "beat 7", timeoutAt); // Not from the planner.
         CPPUNIT_ASSERT(this->watch.hasPlannerFailed(timeoutAt));
     }
 
--- a/src/instance/testing/request_forwarder_test.cc
+++ b/src/instance/testing/request_forwarder_test.cc
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-// What passes between instances here: the path, and the name of an outcome.
+// Requests carry only their path, and answers only the name of an outcome.
 class FakeCallerProtocol final : public CallerProtocol {
 public:
     CallerRequest parseRequest(const http::Request&) const override { return {}; }
@@ -65,8 +65,8 @@
         this->forwarder->plannerSeen(this->server->address());
     }
 
-    // The store turns this instance away and serves the others. A caller who is told
-    // to come back in a second has lost most of what an urgent job has to spare.
+    // The store rejects this instance and serves the others. A retry after a second would use up
+    // most of the delay that an urgent job can afford.
     void requestIsServedByPlanningInstance()
     {
         const CallerAnswer answer = this->forward(Outcome::Accepted, answerWithoutStore(Outcome::NotNow));
@@ -78,15 +78,15 @@
     {
         CallerRequest request;
         CPPUNIT_ASSERT(this->forwarder->shouldForward(request, answerWithoutStore(Outcome::NotNow), 0));
-        CPPUNIT_ASSERT(!this->forwarder->shouldForward(request, answerWithoutStore(Outcome::NotNow), 2700)); // No time is left.
+        CPPUNIT_ASSERT(!this->forwarder->shouldForward(request, answerWithoutStore(Outcome::NotNow), 2700)); // Not enough time is left.
         CPPUNIT_ASSERT(!this->forwarder->shouldForward(request, { .outcome = Outcome::UnknownKey }, 0));
         request.forwarded = true;
         CPPUNIT_ASSERT(!this->forwarder->shouldForward(request, answerWithoutStore(Outcome::NotNow), 0));
     }
 
-    // This instance's own append may still be carried out. A refusal by the other one,
-    // also for a key that was withdrawn meanwhile, would tell the caller that the job
-    // never runs, and then it does.
+    // This instance's own append may still be executed. With the other instance's refusal, for
+    // example because the key was revoked in the meantime, the caller would conclude that the
+    // job never runs although it may.
     void peerRefusalDoesNotReplaceUnknownOutcome()
     {
         CPPUNIT_ASSERT(this->forward(Outcome::NotNow, answerWithoutStore(Outcome::Unknown)).outcome == Outcome::Unknown);
@@ -96,8 +96,8 @@
         CPPUNIT_ASSERT(this->forward(Outcome::NotNow, answerWithoutStore(Outcome::State)).outcome == Outcome::State);
     }
 
-    // Both are cut off, the other one for longer. Its answer that there is no such queue
-    // comes from a text that was replaced, which this instance knows.
+    // Both instances are cut off, the other one for longer. Its "no such queue" is based on a
+    // configuration that, as this instance knows, was replaced.
     void peerDenialFromOlderConfigurationIsIgnored()
     {
         CallerAnswer ownAnswer = answerWithoutStore(Outcome::NotNow);
@@ -106,7 +106,7 @@
             CPPUNIT_ASSERT(this->forward(denial, ownAnswer).outcome == Outcome::NotNow);
     }
 
-    // A job that the other instance had stored was rejected, and ran.
+    // Guards against a refusal of a job that the other instance stored, and that then runs.
     void peerAcceptanceWithOlderConfigurationIsKept()
     {
         for (const Outcome outcome : { Outcome::NotNow, Outcome::UnknownKey, Outcome::NoSuchQueue }) {
@@ -118,15 +118,15 @@
         }
     }
 
-    // A job that the other instance may have stored was denied by a key or queue that is
-    // not known here.
+    // Guards against a refusal of a job that the other instance may have stored, because its key
+    // or queue is unknown here.
     void unknownPeerOutcomeIsNotReplacedByRefusal()
     {
         for (const Outcome ownAnswer : { Outcome::NotNow, Outcome::UnknownKey, Outcome::NoSuchQueue })
             CPPUNIT_ASSERT(this->forward(Outcome::Unknown, answerWithoutStore(ownAnswer)).outcome == Outcome::Unknown);
     }
 
-    // A job that the other instance stored at the first transmission was rejected, and ran.
+    // Guards against a refusal of a job that the other instance stored at the first transmission.
     void rejectionOfResentRequestIsUnknown()
     {
         const std::string rejection(nameOf(Outcome::NotNow));
@@ -138,8 +138,8 @@
         CPPUNIT_ASSERT_EQUAL(3, peer.requests());
     }
 
-    // The planner's machine is gone as well. Offering it each request would cost every
-    // caller a connection attempt before the refusal that it gets anyway.
+    // The planner's machine has failed too. Forwarding each request would delay every refusal by
+    // a connection attempt.
     void unreachablePeerIsAvoided()
     {
         this->server.reset();
@@ -170,7 +170,7 @@
         CPPUNIT_ASSERT(peers.choose(2100) == "second");
     }
 
-    // The other instance's answer would come after the connection of the caller closed.
+    // The other instance's answer would arrive after the caller's connection was closed.
     void nothingIsForwardedPastShutdownDeadline()
     {
         this->forwarder->setAnswerDeadline(this->clock.now());
--- a/src/instance/testing/shutdown_schedule_test.cc
+++ b/src/instance/testing/shutdown_schedule_test.cc
@@ -17,15 +17,15 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // A request came just before the last connection was let in, and its answer takes as
-    // long as one may: its connection was closed before.
+    // Guards against closing the connection of a request that arrives on the last accepted
+    // connection and takes the longest time that an answer may take.
     void defaultGraceCoversSlowestAnswer()
     {
         const ShutdownSchedule schedule = scheduleShutdown(InstanceSettings {}.grace);
         CPPUNIT_ASSERT(schedule.answerDeadline >= schedule.acceptUntil + GatewayOptions {}.maxAnswerTime);
     }
 
-    // The process would be killed with answers still in its sockets.
+    // Otherwise the process would be killed before all answers are sent.
     void shutdownEndsWithinGrace()
     {
         for (Millis grace = 0; grace <= 60000; grace += 50) {
--- a/src/instance/testing/stream_reader_test.cc
+++ b/src/instance/testing/stream_reader_test.cc
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-// A stream without records, whose reads name how long they wait.
+// A store without records. The path of a read shows whether the read waits.
 class FakeStoreProtocol final : public StoreProtocol {
 public:
     http::Call append(Stream, const std::vector<StoreRecord>&, const AppendConditions&) const override { return {}; }
@@ -35,9 +35,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // The store is away for some seconds. What an instance believes only for a while,
-    // such as callers' keys, counts as unknown until a read confirms it; one that waits
-    // for records would confirm it more than a second after the store is back.
+    // The store is unavailable for some seconds. Data that expires without confirmation, such as
+    // API keys, stays invalid until a read confirms it. A read that waits for records would
+    // confirm it more than a second after the store is available again.
     void firstReadAfterFailureDoesNotWait()
     {
         http::Server server({ .address = "127.0.0.1:0" });
--- a/src/instance/testing/term_appender_test.cc
+++ b/src/instance/testing/term_appender_test.cc
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-// Appends carry the values of their records as they are.
+// The body of an append is the concatenation of the records' values.
 class FakeStoreProtocol final : public StoreProtocol {
 public:
     http::Call append(Stream, const std::vector<StoreRecord>& records, const AppendConditions&) const override
@@ -35,8 +35,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against a planner that starts nothing any more, since the store refuses the same
-    // batch of records again and again.
+    // Guards against a planner that starts no more tasks because the store rejects the same
+    // oversized batch of records repeatedly.
     void oversizedBatchIsSplit()
     {
         constexpr std::size_t maxBodyBytes = 2 << 20;
--- a/src/instance/traffic_report.h
+++ b/src/instance/traffic_report.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// Tells what an instance's calls move, by purpose: as metrics, and as a log line for
-// each of the busiest purposes.
+// Reports the traffic of an instance's calls by purpose: as metrics, and as a log line for each
+// of the busiest purposes.
 //
 //     TrafficReport report(metrics);
-//     report.publish(client.traffic(), now);        // as often as one likes
+//     report.publish(client.traffic(), now); // at any rate
 //
-// Without it a machine whose link is full looks like a slow network: calls time out,
-// and nothing says which ones fill it. Not thread-safe.
+// Without it, a saturated link looks like a slow network: calls time out, and nothing shows
+// which calls use the bandwidth. Not thread-safe.
 
 #include "base/metrics.h"
 #include "http/async_client.h"
@@ -30,7 +30,7 @@
     void log(const std::map<std::string_view, http::Traffic>&, Millis since, Millis now);
 
     Metrics& metrics;
-    std::map<std::string_view, http::Traffic> lastLogged; // As of the last line.
+    std::map<std::string_view, http::Traffic> lastLogged; // Totals at the time of the last log lines.
     Millis lastLoggedAt { 0 };
 };
 
--- a/src/instance/worker_clocks.h
+++ b/src/instance/worker_clocks.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What each worker's own clock shows, as far as its answers tell. Leases end at
-// a time on that clock, so a lease can be granted only where it is known.
+// Estimates the clock of each worker from its answers. A lease ends at a time on the worker's
+// clock, so a lease can be granted only if that clock is known.
 
 #include "base/clock.h"
 #include "tasks/progress.h"
@@ -15,8 +15,8 @@
 public:
     void update(const tasks::Incarnation& incarnation, Millis clock, Millis now) { this->readings[incarnation] = { clock, now }; }
 
-    // At least what the worker's clock shows now, but for the time its last answer
-    // took to arrive; empty if it never answered.
+    // The estimated clock of the worker at `now`, or nothing if it never answered. The estimate
+    // is behind the clock by the transit time of the worker's last answer.
     std::optional<Millis> estimate(const tasks::Incarnation& incarnation, Millis now) const
     {
         const auto found = this->readings.find(incarnation);
