--- a/src/instance/control_loop.cc
+++ b/src/instance/control_loop.cc
@@ -64,9 +64,9 @@
     , claimsReader(this->client, protocols.store, clock, readerOptions(this->settings, Stream::Claims), *this)
     , plansReader(this->client, protocols.store, clock, readerOptions(this->settings, Stream::Plans), *this)
     , election(electionOptions(this->settings), clock.now())
-    , deliveries(this->settings.peerAddress, [this] { this->client.wake(); })
-    , orderForwarder(this->jobs, this->deliveries, clock, [this](std::uint64_t session) { return this->channelFor(session); })
-    , roster({ this->settings.processorCores, this->settings.linkMegabitsPerSecond })
+    , deliveryThread(this->settings.peerAddress, [this] { this->client.wake(); })
+    , orderForwarder(this->jobs, this->deliveryThread, clock, [this](std::uint64_t session) { return this->channelFor(session); })
+    , relaySelector({ this->settings.processorCores, this->settings.linkMegabitsPerSecond })
     , catalog(std::make_shared<tasks::Catalog>())
     , requestQueue(maxQueuedRequests)
     , trafficReport(metrics)
@@ -78,7 +78,7 @@
 void ControlLoop::start()
 {
     this->openPeerSocket();
-    this->startDeliveries();
+    this->startDeliveryThread();
     this->thread = std::thread([this] { this->runLoop(); });
 }
 
@@ -88,7 +88,7 @@
     this->client.wake();
     if (this->thread.joinable())
         this->thread.join();
-    this->deliveries.stop();
+    this->deliveryThread.stop();
 }
 
 void ControlLoop::drain(Millis answerDeadline)
@@ -122,9 +122,9 @@
         const Millis now = this->clock.now();
         const Millis wait = std::clamp<Millis>(this->nextWake(now, this->clock.wall()) - now, 0, maxLoopWait);
         this->client.run(std::chrono::milliseconds(wait));
-        const Millis late = this->clock.now() - startedAt - wait;
-        if (late >= slowIterationThreshold)
-            logEvent(events::slowIteration, { { "late_ms", late }, { "round_ms", now - startedAt }, { "leads", this->leadership ? 1 : 0 } });
+        const Millis overrun = this->clock.now() - startedAt - wait;
+        if (overrun >= slowIterationThreshold)
+            logEvent(events::slowIteration, { { "late_ms", overrun }, { "round_ms", now - startedAt }, { "leads", this->leadership ? 1 : 0 } });
     }
     this->endTerm("the program stops");
     this->requestQueue.close();
@@ -136,10 +136,10 @@
 void ControlLoop::step()
 {
     const Millis now = this->clock.now();
-    const Millis wall = this->clock.wall();
+    const Millis wallTime = this->clock.wall();
     this->client.useGroup(0);
     this->applyNewSettings();
-    this->acceptRequests(now, wall);
+    this->acceptRequests(now, wallTime);
     this->configurationReader.step(now);
     // A relay needs the jobs of the starts that it sends as soon as the planner has them.
     this->jobsReader.setLowLatency(this->leadership || this->orderForwarder.isUsed() || this->gateway.isAwaitingJobEnd());
@@ -157,25 +157,25 @@
         this->answerAll({ .outcome = Outcome::Unknown, .message = "this instance stops" });
     this->watchPlanner(now);
     this->runElection(now);
-    this->stepLeadership(now, wall);
+    this->stepLeadership(now, wallTime);
     this->processDeliveryEvents(now);
     this->gatewayReady = this->gateway.isReady(now);
     this->publishGauges(now);
 }
 
-Millis ControlLoop::nextWake(Millis now, Millis wall) const
+Millis ControlLoop::nextWake(Millis now, Millis wallTime) const
 {
-    return std::min(this->orderForwarder.nextWake(), this->leadership ? this->leadership->nextWake(now, wall) : now + maxLoopWait);
+    return std::min(this->orderForwarder.nextWake(), this->leadership ? this->leadership->nextWake(now, wallTime) : now + maxLoopWait);
 }
 
-void ControlLoop::acceptRequests(Millis now, Millis wall)
+void ControlLoop::acceptRequests(Millis now, Millis wallTime)
 {
     while (this->requestQueue.size() > 0) {
         std::optional<QueuedRequest> queued = this->requestQueue.popFor(std::chrono::milliseconds(0));
         if (!queued)
             return;
         const std::uint64_t ticket = ++this->lastTicket;
-        this->gateway.handleRequest(ticket, queued->request, now, wall);
+        this->gateway.handleRequest(ticket, queued->request, now, wallTime);
         this->unansweredRequests.emplace(ticket, UnansweredRequest { std::move(queued->answer), std::move(queued->request) });
     }
 }
--- a/src/instance/control_loop.h
+++ b/src/instance/control_loop.h
@@ -71,7 +71,7 @@
     bool isReady() const { return this->gatewayReady && !this->draining; }
 
     void recordRead(Stream, const StoreRecord&, Millis now) override;
-    void loadBegun(Stream) override;
+    void loadStarted(Stream) override;
     void streamConfirmed(Stream, std::int64_t end, Millis confirmedAt, Millis now) override;
     void streamFailed(Stream, const std::string& why, Millis now) override;
 
@@ -90,7 +90,7 @@
     void runLoop();
     void step();
     void applyNewSettings();
-    void acceptRequests(Millis now, Millis wall);
+    void acceptRequests(Millis now, Millis wallTime);
     void answerCallers();
     void answerCaller(const GatewayAnswer&);
     void answerAll(const CallerAnswer&);
@@ -99,7 +99,7 @@
     bool isReadyToClaim(Millis now);
     void sendClaim(const tasks::Election::Append&);
     void openPeerSocket();
-    void startDeliveries();
+    void startDeliveryThread();
     void watchPlanner(Millis now);
     void receiveDatagrams(Millis now);
     void sendRelayOffer(Millis now);
@@ -110,13 +110,13 @@
     void handleDelivery(const delivery::AnswersArrived&, Millis now);
     void handleDelivery(const delivery::PeerLost&, Millis now);
     std::string peerAddressOf(const std::string& holder) const;
-    void stepLeadership(Millis now, Millis wall);
+    void stepLeadership(Millis now, Millis wallTime);
     void endTerm(const char* why);
-    void jobRecordRead(const StoreRecord&, Millis now);
-    void configurationRecordRead(const StoreRecord&);
-    void claimRecordRead(const StoreRecord&, Millis now);
+    void handleJobRecord(const StoreRecord&, Millis now);
+    void handleConfigurationRecord(const StoreRecord&);
+    void handleClaimRecord(const StoreRecord&, Millis now);
     void publishGauges(Millis now);
-    Millis nextWake(Millis now, Millis wall) const;
+    Millis nextWake(Millis now, Millis wallTime) const;
 
     InstanceSettings settings;
     Protocols protocols;
@@ -135,9 +135,9 @@
     tasks::Election election;
     PlannerWatch plannerWatch;
     DatagramSocket peerSocket;
-    delivery::DeliveryThread deliveries;
+    delivery::DeliveryThread deliveryThread;
     delivery::OrderCarrier orderForwarder;
-    delivery::RelayRoster roster;
+    delivery::RelayRoster relaySelector;
     Millis nextOfferAt { 0 };
     bool deliveryThreadFailed { false };
     std::unique_ptr<Leadership> leadership;
--- a/src/instance/control_loop_delivery.cc
+++ b/src/instance/control_loop_delivery.cc
@@ -10,13 +10,13 @@
 using namespace detail;
 
 // Without the delivery thread, this instance plans without relays and is no relay itself.
-void ControlLoop::startDeliveries()
+void ControlLoop::startDeliveryThread()
 {
     if (this->settings.peerAddress.empty())
         return;
-    if (const auto error = attemptVoid([&] { return this->deliveries.start(); }))
+    if (const auto error = attemptVoid([&] { return this->deliveryThread.start(); }))
         logEvent(events::relayingUnavailable, { { "address", this->settings.peerAddress }, { "why", error->message } });
-    this->deliveryThreadFailed = this->deliveries.hasFailed();
+    this->deliveryThreadFailed = this->deliveryThread.hasFailed();
 }
 
 // Each session has its own group of calls with a negative number; terms use positive numbers.
@@ -28,11 +28,11 @@
 
 void ControlLoop::processDeliveryEvents(Millis now)
 {
-    if (this->deliveries.hasFailed() && !this->deliveryThreadFailed) {
+    if (this->deliveryThread.hasFailed() && !this->deliveryThreadFailed) {
         this->deliveryThreadFailed = true;
         logEvent(events::relayingUnavailable, { { "address", this->settings.peerAddress }, { "why", "its thread has ended" } });
     }
-    while (const auto event = this->deliveries.next())
+    while (const auto event = this->deliveryThread.next())
         std::visit([&](const auto& delivered) { this->handleDelivery(delivered, now); }, *event);
     this->orderForwarder.step(now);
     this->sendRelayOffer(now);
@@ -41,7 +41,7 @@
 void ControlLoop::handleDelivery(const delivery::AnswersArrived& answers, Millis now)
 {
     if (this->leadership)
-        this->leadership->answersArrived(answers, now);
+        this->leadership->answersReceived(answers, now);
 }
 
 void ControlLoop::handleDelivery(const delivery::PeerLost& peer, Millis now)
--- a/src/instance/control_loop_streams.cc
+++ b/src/instance/control_loop_streams.cc
@@ -10,11 +10,11 @@
 {
     switch (stream) {
     case Stream::Jobs:
-        return this->jobRecordRead(record, now);
+        return this->handleJobRecord(record, now);
     case Stream::Configuration:
-        return this->configurationRecordRead(record);
+        return this->handleConfigurationRecord(record);
     case Stream::Claims:
-        return this->claimRecordRead(record, now);
+        return this->handleClaimRecord(record, now);
     case Stream::Plans:
         return this->plans.apply(record.key, record.value, record.offset);
     case Stream::Workers:
@@ -22,13 +22,13 @@
     }
 }
 
-void ControlLoop::loadBegun(Stream stream)
+void ControlLoop::loadStarted(Stream stream)
 {
     if (stream == Stream::Plans)
         this->plans.clear();
 }
 
-void ControlLoop::jobRecordRead(const StoreRecord& record, Millis now)
+void ControlLoop::handleJobRecord(const StoreRecord& record, Millis now)
 {
     const auto change = this->jobs.apply(record.key, record.value, record.offset, now);
     if (!change)
@@ -38,7 +38,7 @@
         this->leadership->jobChanged(*change, now, this->clock.wall());
 }
 
-void ControlLoop::configurationRecordRead(const StoreRecord& record)
+void ControlLoop::handleConfigurationRecord(const StoreRecord& record)
 {
     if (!this->protocols.configuration.isConfiguration(record.key) || record.value.empty())
         return;
@@ -58,7 +58,7 @@
         logEvent(events::configurationInForce, { { "version", this->catalog->version }, { "queues", this->catalog->queues.size() }, { "offset", record.offset } });
 }
 
-void ControlLoop::claimRecordRead(const StoreRecord& record, Millis now)
+void ControlLoop::handleClaimRecord(const StoreRecord& record, Millis now)
 {
     if (record.value.empty())
         return;
--- a/src/instance/control_loop_term.cc
+++ b/src/instance/control_loop_term.cc
@@ -69,9 +69,9 @@
 {
     while (const auto datagram = this->peerSocket.receive()) {
         if (const auto offer = delivery::parseOffer(datagram->from, datagram->text))
-            this->roster.offered(*offer, now);
+            this->relaySelector.offered(*offer, now);
         else
-            this->plannerWatch.received(datagram->from, datagram->text, now);
+            this->plannerWatch.handleDatagram(datagram->from, datagram->text, now);
     }
 }
 
@@ -99,7 +99,7 @@
     return address.substr(0, address.rfind(':')) + ownPeerAddress.substr(ownPeerAddress.rfind(':'));
 }
 
-void ControlLoop::stepLeadership(Millis now, Millis wall)
+void ControlLoop::stepLeadership(Millis now, Millis wallTime)
 {
     const bool isLeader = this->election.leads(now);
     if (this->leadership && (!isLeader || this->leadership->term() != this->election.term()))
@@ -112,12 +112,12 @@
         return;
     this->client.useGroup(static_cast<int>(this->election.term()));
     if (!this->leadership) {
-        const TermServices services { this->client, this->protocols.store, this->protocols.workers, this->roster, this->deliveries, this->clock, this->election, this->settings, this->metrics };
+        const TermServices services { this->client, this->protocols.store, this->protocols.workers, this->relaySelector, this->deliveryThread, this->clock, this->election, this->settings, this->metrics };
         this->metrics.count("rattan_terms_total", { { "event", "taken" } });
         this->leadership = std::make_unique<Leadership>(this->election.term(), services, this->jobs, this->plans);
         this->leadership->applyCatalog(this->catalog);
     }
-    this->leadership->step(now, wall);
+    this->leadership->step(now, wallTime);
     this->client.useGroup(0);
     if (this->leadership->needsPlans())
         this->plansReader.step(now);
--- a/src/instance/gateway.cc
+++ b/src/instance/gateway.cc
@@ -50,7 +50,7 @@
     return this->hasConfiguration && this->jobsLoaded && now - this->configurationConfirmedAt < this->options.maxConfigurationAge;
 }
 
-void Gateway::handleRequest(std::uint64_t ticket, const CallerRequest& request, Millis now, Millis wall)
+void Gateway::handleRequest(std::uint64_t ticket, const CallerRequest& request, Millis now, Millis wallTime)
 {
     WaitingRequest waiting { .request = request, .jobId = request.path.substr(request.path.rfind('/') + 1), .receivedAt = now };
     const Millis timeout = request.timeout > 0 ? std::max<Millis>(request.timeout - this->options.answerMargin, 0) : this->options.maxAnswerTime;
@@ -90,7 +90,7 @@
         return this->refuse(ticket, waiting, "too many requests wait", now);
     switch (request.kind) {
     case RequestKind::Submit:
-        return this->submit(ticket, std::move(waiting), *queue, std::move(workspace), now, wall);
+        return this->submit(ticket, std::move(waiting), *queue, std::move(workspace), now, wallTime);
     case RequestKind::Cancel:
         return this->cancel(ticket, std::move(waiting), now);
     case RequestKind::State:
@@ -100,7 +100,7 @@
     }
 }
 
-void Gateway::submit(std::uint64_t ticket, WaitingRequest waiting, const tasks::Queue& queue, std::string workspace, Millis now, Millis wall)
+void Gateway::submit(std::uint64_t ticket, WaitingRequest waiting, const tasks::Queue& queue, std::string workspace, Millis now, Millis wallTime)
 {
     waiting.recordKey = tasks::keyText({ RecordKind::Job, waiting.jobId });
     if (this->jobs.find(waiting.jobId) || this->storedRecords.contains(waiting.recordKey))
@@ -117,7 +117,7 @@
     job.value->id = waiting.jobId;
     job.value->workspace = std::move(workspace);
     job.value->terms = queue.terms;
-    job.value->acceptedAt = wall;
+    job.value->acceptedAt = wallTime;
     this->queueRecord(ticket, std::move(waiting), tasks::encodeJob(*job.value));
 }
 
--- a/src/instance/gateway.h
+++ b/src/instance/gateway.h
@@ -5,7 +5,7 @@
 //     Gateway gateway({}, protocol, jobs);
 //     gateway.configurationUpdated(catalog);
 //     gateway.configurationConfirmed(confirmedAt);
-//     gateway.handleRequest(ticket, request, now, wall);
+//     gateway.handleRequest(ticket, request, now, wallTime);
 //     for (const StoreRecord& record : gateway.takeRecords(200, 1 << 20)) append(record);
 //     gateway.appendCompleted(keys, AppendStatus::Appended, now); // the outcome of the append
 //     gateway.jobsConfirmed(confirmedAt, now);                    // the jobs stream was read up to confirmedAt
@@ -76,7 +76,7 @@
     void jobsConfirmed(Millis confirmedAt, Millis now);
     void jobChanged(const std::string& id, Millis now);
 
-    void handleRequest(std::uint64_t ticket, const CallerRequest&, Millis now, Millis wall);
+    void handleRequest(std::uint64_t ticket, const CallerRequest&, Millis now, Millis wallTime);
 
     // Removes and returns the oldest records to append, at least one if there are any. The
     // caller reports the outcome of each with appendCompleted().
@@ -117,7 +117,7 @@
         bool sent { false }; // Whether an append of the record may have been executed.
     };
 
-    void submit(std::uint64_t ticket, WaitingRequest, const tasks::Queue&, std::string workspace, Millis now, Millis wall);
+    void submit(std::uint64_t ticket, WaitingRequest, const tasks::Queue&, std::string workspace, Millis now, Millis wallTime);
     void cancel(std::uint64_t ticket, WaitingRequest, Millis now);
     void reportState(std::uint64_t ticket, WaitingRequest, Millis now);
     void queueRecord(std::uint64_t ticket, WaitingRequest, std::string value);
--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -77,8 +77,8 @@
     , jobs(jobs)
     , catalog(std::make_shared<tasks::Catalog>())
     , directChannel(services.client, services.workers, static_cast<int>(term), [this] { return this->confirmLeadership(); })
-    , channel(term, services.roster, this->directChannel, services.port, services.clock)
-    , workerList(services.client, services.store, services.clock, workerListOptions(services.settings), *this)
+    , relayedChannel(term, services.relaySelector, this->directChannel, services.deliveryPort, services.clock)
+    , workersReader(services.client, services.store, services.clock, workerListOptions(services.settings), *this)
     , jobsAppender(Stream::Jobs, term, services.client, services.store, services.clock, services.settings.storeAddress, services.metrics)
     , plansAppender(Stream::Plans, term, services.client, services.store, services.clock, services.settings.storeAddress, services.metrics)
     , plans(plans)
@@ -94,7 +94,7 @@
         this->planner->applyCatalog(this->catalog);
 }
 
-void Leadership::jobChanged(const tasks::JobTable::Change& change, Millis now, Millis wall)
+void Leadership::jobChanged(const tasks::JobTable::Change& change, Millis now, Millis wallTime)
 {
     if (!this->planner)
         return;
@@ -102,28 +102,28 @@
     if (!entry || isFinal(entry->state))
         return;
     if (change.kind == tasks::RecordKind::Job)
-        this->planner->jobAccepted(entry->job, now, wall);
+        this->planner->jobAccepted(entry->job, now, wallTime);
     if (entry->cancelled)
         this->planner->jobCancelled(change.job, now);
 }
 
-void Leadership::jobsConfirmed(Millis at, Millis now, Millis wall)
+void Leadership::jobsConfirmed(Millis at, Millis now, Millis wallTime)
 {
     if (this->jobsLoaded || this->jobsAppender.fencedAt() == 0 || at < this->jobsAppender.fencedAt())
         return;
     this->jobsLoaded = true;
-    this->beginPlanning(now, wall);
+    this->beginPlanning(now, wallTime);
 }
 
-void Leadership::plansConfirmed(Millis at, Millis now, Millis wall)
+void Leadership::plansConfirmed(Millis at, Millis now, Millis wallTime)
 {
     if (!this->needsPlans() || at < this->plansAppender.fencedAt())
         return;
     this->plansLoaded = true;
-    this->beginPlanning(now, wall);
+    this->beginPlanning(now, wallTime);
 }
 
-void Leadership::beginPlanning(Millis now, Millis wall)
+void Leadership::beginPlanning(Millis now, Millis wallTime)
 {
     if (this->planner || !this->jobsLoaded || !this->plansLoaded)
         return;
@@ -131,7 +131,7 @@
     options.longestLease = this->services.settings.maxLease;
     options.stopTimeout = this->services.settings.stopTimeout;
     options.advised = !this->services.settings.adviceAddress.empty();
-    this->planner = std::make_unique<tasks::TaskPlanner>(options, this->jobs, this->plans, now, wall);
+    this->planner = std::make_unique<tasks::TaskPlanner>(options, this->jobs, this->plans, now, wallTime);
     this->planner->applyCatalog(this->catalog);
     this->workerListChanged = true;
     logEvent(events::leadTaken, { { "term", this->termNumber }, { "jobs", this->jobs.all().size() }, { "plans", this->plans.all().size() }, { "runs", this->planner->runs() } });
@@ -139,32 +139,32 @@
         logEvent(events::recordUnreadable, { { "stream", "plans" }, { "records", this->plans.unreadable() } });
 }
 
-void Leadership::step(Millis now, Millis wall)
+void Leadership::step(Millis now, Millis wallTime)
 {
     this->jobsAppender.step(now);
     this->plansAppender.step(now);
-    this->workerList.step(now);
-    if (!this->planner || !this->workerList.loaded())
+    this->workersReader.step(now);
+    if (!this->planner || !this->workersReader.loaded())
         return;
     if (this->workerListChanged)
         this->updateWorkers(now);
     this->checkBatch(now);
     if (now >= this->nextPlanAt)
-        this->runPlanner(now, wall);
+        this->runPlanner(now, wallTime);
     else if (now >= this->nextPollsAt && this->planner->hasPollsLeft())
         this->sendRemainingPolls(now);
     this->jobsAppender.step(now);
     this->plansAppender.step(now);
     if (this->confirmLeadership())
-        this->channel.step(this->services.clock.now());
+        this->relayedChannel.step(this->services.clock.now());
 }
 
 // Each run examines every worker. With a thousand workers whose answers arrive continuously,
 // one run per answer would use all processor time, so that several answers share a run.
-void Leadership::runPlanner(Millis now, Millis wall)
+void Leadership::runPlanner(Millis now, Millis wallTime)
 {
     this->forgetExpiredJobs(now);
-    this->planner->step(now, wall);
+    this->planner->step(now, wallTime);
     // On a slow machine, planner runs must not delay the renewal of the term.
     const Millis duration = this->services.clock.now() - now;
     this->planner->stepTook(duration, this->services.clock.now());
@@ -210,7 +210,7 @@
         places.push_back({ id, sighting.domain });
     }
     this->planner->workersSeen(currentSightings, now);
-    this->services.roster.setWorkers(std::move(places));
+    this->services.relaySelector.setWorkers(std::move(places));
 }
 
 // The process may have been suspended since an order was decided. Sent now, the order could
@@ -227,7 +227,7 @@
     if (peer.term != this->termNumber)
         return;
     logEvent(events::relayLost, { { "peer", peer.peer }, { "term", peer.term }, { "why", peer.why } });
-    this->channel.lost(peer, now);
+    this->relayedChannel.lost(peer, now);
 }
 
 // Limited per interval, so that the records of a busy hour are not deleted in a single append.
@@ -245,14 +245,14 @@
     this->planner->forget(expired);
 }
 
-Millis Leadership::nextWake(Millis now, Millis wall) const
+Millis Leadership::nextWake(Millis now, Millis wallTime) const
 {
     if (!this->planner)
         return now + workerListInterval;
-    Millis wakeAt = std::max(this->planner->nextWake(now, wall), this->nextPlanAt);
+    Millis wakeAt = std::max(this->planner->nextWake(now, wallTime), this->nextPlanAt);
     if (this->planner->hasPollsLeft())
         wakeAt = std::min(wakeAt, std::max(now, this->nextPollsAt));
-    return std::min({ wakeAt, this->channel.nextWake(), now + workerListInterval });
+    return std::min({ wakeAt, this->relayedChannel.nextWake(), now + workerListInterval });
 }
 
 void Leadership::executeOrders(Orders orders, Millis now)
@@ -299,7 +299,7 @@
 {
     const Millis leaseEnd = this->workerClocks.estimate(order.worker, order.decidedAt).value_or(0) + this->services.settings.maxLease;
     const Millis sentAt = this->services.clock.now();
-    this->channel.send({ order, this->termNumber, leaseEnd }, [this, order, sentAt](const WorkerAnswer& answer) {
+    this->relayedChannel.send({ order, this->termNumber, leaseEnd }, [this, order, sentAt](const WorkerAnswer& answer) {
         const auto& reply = std::get<StartReply>(answer.reply);
         const Millis now = this->services.clock.now();
         this->observeOrderTime("start", sentAt, now);
@@ -317,7 +317,7 @@
 void Leadership::sendStop(const tasks::StopOrder& order)
 {
     const Millis sentAt = this->services.clock.now();
-    this->channel.send({ order, this->termNumber, std::nullopt }, [this, order, sentAt](const WorkerAnswer& answer) {
+    this->relayedChannel.send({ order, this->termNumber, std::nullopt }, [this, order, sentAt](const WorkerAnswer& answer) {
         const auto& reply = std::get<StopReply>(answer.reply);
         const Millis now = this->services.clock.now();
         this->observeOrderTime("stop", sentAt, now);
@@ -343,7 +343,7 @@
     std::optional<Millis> leaseEnd;
     if (const auto estimated = this->workerClocks.estimate(order.worker, now); estimated && order.renews)
         leaseEnd = *estimated + this->services.settings.maxLease;
-    this->channel.send({ order, this->termNumber, leaseEnd }, [this, order, now](const WorkerAnswer& answer) {
+    this->relayedChannel.send({ order, this->termNumber, leaseEnd }, [this, order, now](const WorkerAnswer& answer) {
         const auto& reply = std::get<PollReply>(answer.reply);
         const Millis answeredAt = this->services.clock.now();
         this->services.metrics.count("rattan_orders_total", { { "order", "poll" }, { "outcome", reply.report ? "answered" : std::string(tasks::nameOf(reply.fault)) } });
@@ -385,7 +385,7 @@
     logEvent(events::recordUnreadable, { { "stream", "workers" }, { "key", record.key }, { "why", sighting.error.message } });
 }
 
-void Leadership::loadBegun(Stream)
+void Leadership::loadStarted(Stream)
 {
     this->loadingWorkerList = true;
     this->loadingSightings.clear();
--- a/src/instance/leadership.h
+++ b/src/instance/leadership.h
@@ -4,7 +4,7 @@
 // resigns or loses the claim.
 //
 //     Leadership leadership(7, services, jobs, plans);
-//     leadership.step(now, wall); // only while the election reports this instance as leader
+//     leadership.step(now, wallTime); // only while the election reports this instance as leader
 //     if (leadership.isLost()) ...
 //
 // A term fences the appends of earlier terms, reads the streams of jobs and plans up to their
@@ -35,8 +35,8 @@
     http::AsyncClient& client;
     const StoreProtocol& store;
     const delivery::WorkerProtocol& workers;
-    delivery::RelayRoster& roster;
-    delivery::DeliveryPort& port;
+    delivery::RelayRoster& relaySelector;
+    delivery::DeliveryPort& deliveryPort;
     const Clock& clock;
     const tasks::Election& election; // Checked again before each order is sent.
     const InstanceSettings& settings;
@@ -51,37 +51,37 @@
     Leadership& operator=(const Leadership&) = delete;
 
     void applyCatalog(std::shared_ptr<const tasks::Catalog>);
-    void jobChanged(const tasks::JobTable::Change&, Millis now, Millis wall);
+    void jobChanged(const tasks::JobTable::Change&, Millis now, Millis wallTime);
 
     // Reports that the job table contains every record that was appended before `at`.
-    void jobsConfirmed(Millis at, Millis now, Millis wall);
+    void jobsConfirmed(Millis at, Millis now, Millis wallTime);
 
     // Reports that the plan table contains every record that was appended before `at`.
-    void plansConfirmed(Millis at, Millis now, Millis wall);
+    void plansConfirmed(Millis at, Millis now, Millis wallTime);
     bool needsPlans() const { return this->plansAppender.fencedAt() > 0 && !this->plansLoaded; }
 
     // True while planning cannot begin until the jobs stream is read further.
     bool needsJobsRead() const { return this->jobsAppender.fencedAt() > 0 && !this->jobsLoaded; }
 
-    void step(Millis now, Millis wall);
+    void step(Millis now, Millis wallTime);
     bool isLost() const { return this->termLost || this->jobsAppender.isLost() || this->plansAppender.isLost() || (this->planner && this->planner->deposed()); }
-    Millis nextWake(Millis now, Millis wall) const;
+    Millis nextWake(Millis now, Millis wallTime) const;
     std::int64_t term() const { return this->termNumber; }
     bool isPlanning() const { return this->planner != nullptr; }
 
     // Events of the instances that relay orders for this one.
-    void answersArrived(const delivery::AnswersArrived& answers, Millis now) { this->channel.arrived(answers, now); }
+    void answersReceived(const delivery::AnswersArrived& answers, Millis now) { this->relayedChannel.arrived(answers, now); }
     void peerLost(const delivery::PeerLost&, Millis now);
 
     // StreamHandler, for the stream of workers.
     void recordRead(Stream, const StoreRecord&, Millis now) override;
-    void loadBegun(Stream) override;
+    void loadStarted(Stream) override;
     void streamConfirmed(Stream, std::int64_t end, Millis confirmedAt, Millis now) override;
     void streamFailed(Stream, const std::string& why, Millis now) override;
 
 private:
-    void beginPlanning(Millis now, Millis wall);
-    void runPlanner(Millis now, Millis wall);
+    void beginPlanning(Millis now, Millis wallTime);
+    void runPlanner(Millis now, Millis wallTime);
     void executeOrders(tasks::Orders, Millis now);
     void append(const tasks::RecordBatch&);
     void checkBatch(Millis now);
@@ -103,8 +103,8 @@
     std::shared_ptr<const tasks::Catalog> catalog;
     std::unique_ptr<tasks::TaskPlanner> planner;
     delivery::DirectChannel directChannel;
-    delivery::RelayedChannel channel;
-    StreamReader workerList;
+    delivery::RelayedChannel relayedChannel;
+    StreamReader workersReader;
     std::map<std::string, tasks::WorkerSighting> sightings;
     std::map<std::string, tasks::WorkerSighting> loadingSightings;
     bool loadingWorkerList { false };
--- a/src/instance/planner_watch.cc
+++ b/src/instance/planner_watch.cc
@@ -37,7 +37,7 @@
     this->nextWatchRequestAt = now;
 }
 
-void PlannerWatch::received(const std::string& peer, const std::string& text, Millis now)
+void PlannerWatch::handleDatagram(const std::string& peer, const std::string& text, Millis now)
 {
     if (text.starts_with(watchPrefix)) {
         if (this->watchers.contains(peer) || this->watchers.size() < maxWatchers)
--- a/src/instance/planner_watch.h
+++ b/src/instance/planner_watch.h
@@ -7,7 +7,7 @@
 //     PlannerWatch watch;
 //     watch.plannerChanged({ 7, "10.1.0.7:7000" }, now); // read from the stream of claims
 //     for (const WatchMessage& message : watch.step(term, renewalFailed, now)) send(message.peer, message.text);
-//     watch.received("10.1.0.7:7000", "beat 7", now);
+//     watch.handleDatagram("10.1.0.7:7000", "beat 7", now);
 //     if (watch.hasPlannerFailed(now)) ...               // claim immediately
 //
 // Failure that this prevents: if the planner is killed, cut off or rejected by the store,
@@ -51,7 +51,7 @@
     // Reports the newest claim. `peer` is empty if this instance holds it.
     void plannerChanged(const WatchedPlanner&, Millis now);
 
-    void received(const std::string& peer, const std::string& text, Millis now);
+    void handleDatagram(const std::string& peer, const std::string& text, Millis now);
 
     // Returns the messages to send now. `term` is the term in which this instance plans, or 0 if
     // it does not plan. A planner that failed to renew its claim announces that its term ends.
--- a/src/instance/program.cc
+++ b/src/instance/program.cc
@@ -40,12 +40,12 @@
             : settings(std::move(settings))
             , protocols(protocols)
             , loop(this->settings, protocols, this->clock, this->metrics)
-            , callers({ .address = this->settings.callerAddress, .bodyLimit = maxBodyBytes, .connectionLimit = maxCallerConnections, .idleSeconds = callerIdleSeconds })
-            , probes({ .address = this->settings.readyAddress, .connectionLimit = maxProbeConnections, .idleSeconds = callerIdleSeconds })
+            , callerServer({ .address = this->settings.callerAddress, .bodyLimit = maxBodyBytes, .connectionLimit = maxCallerConnections, .idleSeconds = callerIdleSeconds })
+            , probeServer({ .address = this->settings.readyAddress, .connectionLimit = maxProbeConnections, .idleSeconds = callerIdleSeconds })
         {
-            this->callers.fallback([this](const http::Request& request) { return this->serve(request); });
-            this->probes.route("GET", "/readyz", [this](const http::Request&) { return readiness(this->loop); });
-            this->probes.route("GET", "/metrics", [this](const http::Request&) {
+            this->callerServer.fallback([this](const http::Request& request) { return this->serve(request); });
+            this->probeServer.route("GET", "/readyz", [this](const http::Request&) { return readiness(this->loop); });
+            this->probeServer.route("GET", "/metrics", [this](const http::Request&) {
                 return http::Answer { .status = 200, .body = this->metrics.prometheusText(), .contentType = "text/plain; version=0.0.4" };
             });
         }
@@ -53,13 +53,13 @@
         int run(const StopSignal& signals, const ReadSettings& readSettings)
         {
             this->loop.start();
-            for (http::Server* server : { &this->probes, &this->callers }) {
+            for (http::Server* server : { &this->probeServer, &this->callerServer }) {
                 if (const auto error = attemptVoid([&] { return server->start(); })) {
                     logEvent(events::startFailed, { { "step", error->step }, { "peer", error->peer }, { "why", error->message } });
                     return startFailedExitCode;
                 }
             }
-            logEvent(events::started, { { "callers", this->callers.address() }, { "ready", this->probes.address() }, { "store", this->settings.storeAddress } });
+            logEvent(events::started, { { "callers", this->callerServer.address() }, { "ready", this->probeServer.address() }, { "store", this->settings.storeAddress } });
             while (signals.next() == Signal::Reload)
                 this->reload(readSettings);
             this->drain();
@@ -92,12 +92,12 @@
             logEvent(events::stopping, { { "grace_ms", this->settings.grace } });
             const Millis startedAt = this->clock.now();
             const ShutdownSchedule schedule = scheduleShutdown(this->settings.grace);
-            this->callers.drain();
+            this->callerServer.drain();
             this->loop.drain(startedAt + schedule.answerDeadline);
             while (this->clock.now() < startedAt + schedule.acceptUntil)
                 std::this_thread::sleep_for(std::chrono::milliseconds(pollInterval));
-            const http::StopReport report = this->callers.stop(std::max<Millis>(startedAt + schedule.closeDeadline - this->clock.now(), 0));
-            this->probes.stop(probesCloseTimeout);
+            const http::StopReport report = this->callerServer.stop(std::max<Millis>(startedAt + schedule.closeDeadline - this->clock.now(), 0));
+            this->probeServer.stop(probesCloseTimeout);
             this->loop.stop();
             logEvent(events::stopped, { { "took_ms", this->clock.now() - startedAt }, { "in_progress", report.inProgress }, { "cut", report.cut } });
         }
@@ -107,8 +107,8 @@
         SystemClock clock;
         Metrics metrics;
         ControlLoop loop;
-        http::Server callers;
-        http::Server probes;
+        http::Server callerServer;
+        http::Server probeServer;
     };
 
 } // namespace
--- a/src/instance/stream_reader.cc
+++ b/src/instance/stream_reader.cc
@@ -57,7 +57,7 @@
         this->lastLoadedKey.clear();
         this->loadEnd = -1;
         this->loadSentAt = sentAt;
-        this->handler.loadBegun(this->options.stream);
+        this->handler.loadStarted(this->options.stream);
     }
     http::Call call = this->protocol.newest(this->options.stream, this->lastLoadedKey);
     call.purpose = "load";
@@ -68,15 +68,15 @@
     this->callInFlight = true;
     this->client.send(std::move(call), [this, sentAt](const http::Reply& reply) {
         this->callInFlight = false;
-        this->pageRead(reply, sentAt);
+        this->handlePage(reply, sentAt);
     });
 }
 
-void StreamReader::pageRead(const http::Reply& reply, Millis)
+void StreamReader::handlePage(const http::Reply& reply, Millis)
 {
     const Attempt<NewestPage> page = attempt([&] { return this->protocol.parseNewest(reply); });
     if (!page.value)
-        return this->failed(page.error.message);
+        return this->handleFailure(page.error.message);
     const Millis now = this->clock.now();
     this->retryDelay = 0;
     if (this->loadEnd < 0)
@@ -105,15 +105,15 @@
     (isProbe ? this->probeInFlight : this->callInFlight) = true;
     this->client.send(std::move(call), [this, isProbe, from, wait, sentAt](const http::Reply& reply) {
         (isProbe ? this->probeInFlight : this->callInFlight) = false;
-        this->recordsRead(reply, from, wait, sentAt);
+        this->handleRecords(reply, from, wait, sentAt);
     });
 }
 
-void StreamReader::recordsRead(const http::Reply& reply, std::int64_t from, Millis wait, Millis sentAt)
+void StreamReader::handleRecords(const http::Reply& reply, std::int64_t from, Millis wait, Millis sentAt)
 {
     const Attempt<ReadReply> read = attempt([&] { return this->protocol.parseRead(reply, from); });
     if (!read.value)
-        return this->failed(read.error.message);
+        return this->handleFailure(read.error.message);
     const Millis now = this->clock.now();
     this->retryDelay = 0;
     if (this->loading)
@@ -137,7 +137,7 @@
         this->confirm(waitExpired ? sentAt + wait : sentAt);
 }
 
-void StreamReader::failed(const std::string& why)
+void StreamReader::handleFailure(const std::string& why)
 {
     const Millis now = this->clock.now();
     this->retryDelay = std::clamp(this->retryDelay * 2, minRetryDelay, maxRetryDelay);
--- a/src/instance/stream_reader.h
+++ b/src/instance/stream_reader.h
@@ -33,7 +33,7 @@
     virtual void recordRead(Stream, const StoreRecord&, Millis now) = 0;
 
     // A load begins. Keys that it does not deliver no longer exist.
-    virtual void loadBegun(Stream) = 0;
+    virtual void loadStarted(Stream) = 0;
 
     // The reader has delivered the stream up to its end, at offset `end`.
     virtual void streamConfirmed(Stream, std::int64_t end, Millis confirmedAt, Millis now) = 0;
@@ -59,9 +59,9 @@
     bool shouldWait() const;
     void load();
     void read(Millis wait, bool isProbe);
-    void pageRead(const http::Reply&, Millis sentAt);
-    void recordsRead(const http::Reply&, std::int64_t from, Millis wait, Millis sentAt);
-    void failed(const std::string& why);
+    void handlePage(const http::Reply&, Millis sentAt);
+    void handleRecords(const http::Reply&, std::int64_t from, Millis wait, Millis sentAt);
+    void handleFailure(const std::string& why);
     void confirm(Millis at);
 
     http::AsyncClient& client;
--- a/src/instance/term_appender.cc
+++ b/src/instance/term_appender.cc
@@ -41,7 +41,7 @@
     if (this->fenceTime == 0)
         this->fence();
     else if (!this->pendingRecords.empty())
-        this->sendBatch();
+        this->sendPart();
 }
 
 http::Call TermAppender::callFor(const std::vector<StoreRecord>& records, std::int64_t sequenceNumber) const
@@ -59,11 +59,11 @@
     this->callInFlight = true;
     this->client.send(this->callFor({}, 0), [this](const http::Reply& reply) {
         this->callInFlight = false;
-        this->fenceAnswered(this->protocol.parseAppend(reply).status);
+        this->handleFenceReply(this->protocol.parseAppend(reply).status);
     });
 }
 
-void TermAppender::fenceAnswered(AppendStatus status)
+void TermAppender::handleFenceReply(AppendStatus status)
 {
     const Millis now = this->clock.now();
     if (status == AppendStatus::Appended)
@@ -88,18 +88,18 @@
     return { this->pendingRecords.begin(), end };
 }
 
-void TermAppender::sendBatch()
+void TermAppender::sendPart()
 {
     const std::vector<StoreRecord> part = this->nextPart();
     this->callInFlight = true;
     this->metrics.count("rattan_store_calls_total", { { "call", "record" } });
     this->client.send(this->callFor(part, this->nextSequenceNumber), [this, sent = part.size()](const http::Reply& reply) {
         this->callInFlight = false;
-        this->partAnswered(this->protocol.parseAppend(reply).status, sent);
+        this->handlePartReply(this->protocol.parseAppend(reply).status, sent);
     });
 }
 
-void TermAppender::partAnswered(AppendStatus status, std::size_t sent)
+void TermAppender::handlePartReply(AppendStatus status, std::size_t sent)
 {
     if (status == AppendStatus::Appended) {
         ++this->nextSequenceNumber;
--- a/src/instance/term_appender.h
+++ b/src/instance/term_appender.h
@@ -39,10 +39,10 @@
 
 private:
     void fence();
-    void sendBatch();
+    void sendPart();
     http::Call callFor(const std::vector<StoreRecord>&, std::int64_t sequenceNumber) const;
-    void fenceAnswered(AppendStatus);
-    void partAnswered(AppendStatus, std::size_t sent);
+    void handleFenceReply(AppendStatus);
+    void handlePartReply(AppendStatus, std::size_t sent);
     std::vector<StoreRecord> nextPart() const;
 
     const Stream stream;
--- a/src/instance/testing/planner_watch_test.cc
+++ b/src/instance/testing/planner_watch_test.cc
@@ -44,7 +44,7 @@
     {
         this->receiveHeartbeats(startTime, 5);
         const Millis lastHeartbeatAt = startTime + 5 * PlannerWatch::heartbeatInterval;
-        this->watch.received(planner, "beat 7", lastHeartbeatAt + 4 * PlannerWatch::heartbeatInterval);
+        this->watch.handleDatagram(planner, "beat 7", lastHeartbeatAt + 4 * PlannerWatch::heartbeatInterval);
         CPPUNIT_ASSERT(!this->watch.hasPlannerFailed(lastHeartbeatAt + PlannerWatch::heartbeatTimeout + 1));
     }
 
@@ -53,7 +53,7 @@
     void plannerWithoutHeartbeatsIsNotReplaced()
     {
         CPPUNIT_ASSERT(!this->watch.hasPlannerFailed(startTime + 60000));
-        this->watch.received(planner, "beat 7", startTime + 60000);
+        this->watch.handleDatagram(planner, "beat 7", startTime + 60000);
         CPPUNIT_ASSERT(!this->watch.hasPlannerFailed(startTime + 70000));
     }
 
@@ -61,16 +61,16 @@
     void failedRenewalIsAnnounced()
     {
         PlannerWatch leading;
-        leading.received(watcher, "watch 7", startTime);
+        leading.handleDatagram(watcher, "watch 7", startTime);
         CPPUNIT_ASSERT_EQUAL(std::string("beat 7"), leading.step(7, false, startTime).at(0).text);
         const auto messages = leading.step(7, true, startTime + 10);
         CPPUNIT_ASSERT_EQUAL(std::string("end 7"), messages.at(0).text);
         CPPUNIT_ASSERT_EQUAL(watcher, messages.at(0).peer);
         CPPUNIT_ASSERT(leading.step(7, true, startTime + 500).empty());
         CPPUNIT_ASSERT_EQUAL(std::string("beat 7"), leading.step(7, false, startTime + 600).at(0).text);
-        this->watch.received(planner, "end 7", startTime + 20);
+        this->watch.handleDatagram(planner, "end 7", startTime + 20);
         CPPUNIT_ASSERT(this->watch.hasPlannerFailed(startTime + 20));
-        this->watch.received(planner, "beat 7", startTime + 610);
+        this->watch.handleDatagram(planner, "beat 7", startTime + 610);
         CPPUNIT_ASSERT(!this->watch.hasPlannerFailed(startTime + 610));
     }
 
@@ -90,9 +90,9 @@
     void detectionIsDelayedAfterShortTerm()
     {
         this->watch.plannerChanged({ 8, watcher }, startTime + 1000);
-        this->watch.received(watcher, "beat 8", startTime + 1100);
-        this->watch.received(watcher, "beat 8", startTime + 1200);
-        this->watch.received(watcher, "end 8", startTime + 1300);
+        this->watch.handleDatagram(watcher, "beat 8", startTime + 1100);
+        this->watch.handleDatagram(watcher, "beat 8", startTime + 1200);
+        this->watch.handleDatagram(watcher, "end 8", startTime + 1300);
         CPPUNIT_ASSERT(!this->watch.hasPlannerFailed(startTime + 3900));
         CPPUNIT_ASSERT(this->watch.hasPlannerFailed(startTime + 4000));
     }
@@ -102,15 +102,15 @@
         this->receiveHeartbeats(startTime, 5);
         const Millis timeoutAt = startTime + 5 * PlannerWatch::heartbeatInterval + PlannerWatch::heartbeatTimeout + 1;
         for (const char* malformed : { "", "beat", "beat ", "beat 6", "beat 7x", "beat -7", "beat 99999999999999999999", "end 6", "end 7 " })
-            this->watch.received(planner, malformed, timeoutAt);
-        this->watch.received(watcher, "beat 7", timeoutAt); // Not from the planner.
+            this->watch.handleDatagram(planner, malformed, timeoutAt);
+        this->watch.handleDatagram(watcher, "beat 7", timeoutAt); // Not from the planner.
         CPPUNIT_ASSERT(this->watch.hasPlannerFailed(timeoutAt));
     }
 
     void watchersAreBoundedAndExpire()
     {
         for (std::size_t i = 0; i < 3 * PlannerWatch::maxWatchers; ++i)
-            this->watch.received(std::to_string(i), "watch 7", startTime);
+            this->watch.handleDatagram(std::to_string(i), "watch 7", startTime);
         CPPUNIT_ASSERT_EQUAL(PlannerWatch::maxWatchers, this->watch.step(7, false, startTime).size());
         CPPUNIT_ASSERT(this->watch.step(7, false, startTime + 10000).empty());
     }
@@ -119,7 +119,7 @@
     void receiveHeartbeats(Millis from, int count)
     {
         for (int i = 1; i <= count; ++i)
-            this->watch.received(planner, "beat 7", from + i * PlannerWatch::heartbeatInterval);
+            this->watch.handleDatagram(planner, "beat 7", from + i * PlannerWatch::heartbeatInterval);
     }
 
     PlannerWatch watch;
--- a/src/instance/testing/stream_reader_test.cc
+++ b/src/instance/testing/stream_reader_test.cc
@@ -63,7 +63,7 @@
     }
 
     void recordRead(Stream, const StoreRecord&, Millis) override { }
-    void loadBegun(Stream) override { }
+    void loadStarted(Stream) override { }
     void streamConfirmed(Stream, std::int64_t, Millis, Millis) override { }
     void streamFailed(Stream, const std::string&, Millis) override { ++this->failures; }
 
