--- a/src/instance/control_loop.h
+++ b/src/instance/control_loop.h
@@ -1,17 +1,17 @@
 #pragma once
 
-// The thread of an instance on which everything is decided: it follows the store,
-// answers callers through the gateway, takes part in the election, and plans
-// while it leads.
+// The thread that makes all decisions of an instance: it follows the streams of the store,
+// answers callers through the gateway, takes part in the election of the planner, and
+// plans while it leads.
 //
 //     ControlLoop loop(settings, protocols, clock, metrics);
 //     loop.start();
-//     CallerAnswer answer = loop.ask(request);      // from any thread; blocks
-//     loop.drain(clock.now() + 5000);               // hand the term over, answer all by then
+//     CallerAnswer answer = loop.handleRequest(request); // from any thread; blocks
+//     loop.drain(clock.now() + 5000);                    // resign, and answer all requests by then
 //     loop.stop();
 //
-// Callers' threads reach it through a bounded ring; when that is full, a request
-// is refused at once.
+// Callers' threads pass requests through a bounded queue. When it is full, a request is
+// refused immediately.
 
 #include "base/datagram_socket.h"
 #include "base/metrics.h"
@@ -23,7 +23,7 @@
 #include "instance/gateway.h"
 #include "instance/leadership.h"
 #include "instance/planner_watch.h"
-#include "instance/relay.h"
+#include "instance/request_forwarder.h"
 #include "instance/settings.h"
 #include "instance/stream_reader.h"
 #include "instance/traffic_report.h"
@@ -45,7 +45,7 @@
     const StoreProtocol& store;
     const delivery::WorkerProtocol& workers;
     const CallerProtocol& callers;
-    const ConfigurationProtocol& text;
+    const ConfigurationProtocol& configuration;
 };
 
 class ControlLoop final : public StreamHandler {
@@ -58,65 +58,65 @@
     void start();
     void stop();
 
-    // Gives the term up, so that another instance follows at once. Whatever is asked is
-    // answered by that time, also where the outcome is not known by then.
-    void drain(Millis lastAnswerAt);
+    // Resigns, so that another instance takes over planning immediately. Every request is
+    // answered by the deadline, with Outcome::Unknown if its outcome is not known by then.
+    void drain(Millis answerDeadline);
 
-    // Settings that were read again; taken by the loop's next round.
+    // Sets reloaded settings, which the next iteration of the loop applies.
     void apply(const InstanceSettings&);
 
-    CallerAnswer ask(CallerRequest);
+    CallerAnswer handleRequest(CallerRequest);
 
-    // Whether this instance wants new connections.
-    bool ready() const { return this->isReady && !this->draining; }
+    // Whether this instance accepts new connections.
+    bool isReady() const { return this->gatewayReady && !this->draining; }
 
     void recordRead(Stream, const StoreRecord&, Millis now) override;
-    void loadBegun(Stream) override;
+    void loadStarted(Stream) override;
     void streamConfirmed(Stream, std::int64_t end, Millis confirmedAt, Millis now) override;
     void streamFailed(Stream, const std::string& why, Millis now) override;
 
 private:
-    struct Command {
+    struct QueuedRequest {
         CallerRequest request;
         std::promise<CallerAnswer> answer;
     };
 
-    // One waiter of the two sides: the caller's thread and the loop.
-    struct Asked {
+    // A request whose caller's thread waits for the answer of the loop.
+    struct UnansweredRequest {
         std::promise<CallerAnswer> answer;
         CallerRequest request;
     };
 
-    void run();
-    void round();
-    void takeSettings();
-    void takeCommands(Millis now, Millis wall);
+    void runLoop();
+    void step();
+    void applyNewSettings();
+    void acceptRequests(Millis now, Millis wallTime);
     void answerCallers();
     void answerCaller(const GatewayAnswer&);
     void answerAll(const CallerAnswer&);
     void appendRecords(Millis now);
     void runElection(Millis now);
-    bool readyToClaim(Millis now);
+    bool isReadyToClaim(Millis now);
     void sendClaim(const tasks::Election::Append&);
     void openPeerSocket();
-    void startDeliveries();
+    void startDeliveryThread();
     void watchPlanner(Millis now);
     void receiveDatagrams(Millis now);
-    void offerRelay(Millis now);
-    void takeDeliveries(Millis now);
+    void sendRelayOffer(Millis now);
+    void processDeliveryEvents(Millis now);
     std::unique_ptr<delivery::WorkerChannel> channelFor(std::uint64_t session);
-    void delivered(const delivery::OrdersReceived& orders, Millis now) { this->carrier.handleOrders(orders, now); }
-    void delivered(const delivery::SessionEnded& session, Millis) { this->carrier.handleSessionEnded(session); }
-    void delivered(const delivery::AnswersReceived&, Millis now);
-    void delivered(const delivery::PeerLost&, Millis now);
-    std::string peerOf(const std::string& holder) const;
-    void lead(Millis now, Millis wall);
+    void handleDelivery(const delivery::OrdersReceived& orders, Millis now) { this->orderForwarder.handleOrders(orders, now); }
+    void handleDelivery(const delivery::SessionEnded& session, Millis) { this->orderForwarder.handleSessionEnded(session); }
+    void handleDelivery(const delivery::AnswersReceived&, Millis now);
+    void handleDelivery(const delivery::PeerLost&, Millis now);
+    std::string peerAddressOf(const std::string& holder) const;
+    void stepLeadership(Millis now, Millis wallTime);
     void endTerm(const char* why);
-    void jobRecordRead(const StoreRecord&, Millis now);
-    void configurationRecordRead(const StoreRecord&);
-    void claimRecordRead(const StoreRecord&, Millis now);
+    void handleJobRecord(const StoreRecord&, Millis now);
+    void handleConfigurationRecord(const StoreRecord&);
+    void handleClaimRecord(const StoreRecord&, Millis now);
     void publishGauges(Millis now);
-    Millis nextWake(Millis now, Millis wall) const;
+    Millis nextWake(Millis now, Millis wallTime) const;
 
     InstanceSettings settings;
     Protocols protocols;
@@ -124,42 +124,42 @@
     Metrics& metrics;
     http::AsyncClient client;
     tasks::JobTable jobs;
-    tasks::PlanTable plans; // As they were when a term of this instance last began.
+    tasks::PlanTable plans; // As of the start of this instance's latest term; not updated while it plans.
     Gateway gateway;
-    Relay relay;
+    RequestForwarder requestForwarder;
     StreamReader configurationReader;
     StreamReader jobsReader;
     StreamReader claimsReader;
     StreamReader plansReader;
-    std::map<Stream, bool> reachable;
+    std::map<Stream, bool> reachableStreams;
     tasks::Election election;
     PlannerWatch plannerWatch;
     DatagramSocket peerSocket;
-    delivery::DeliveryThread deliveries;
-    delivery::OrderForwarder carrier;
-    delivery::RelaySelector roster;
-    Millis offerAt { 0 };
-    bool deliveriesFailed { false };
+    delivery::DeliveryThread deliveryThread;
+    delivery::OrderForwarder orderForwarder;
+    delivery::RelaySelector relaySelector;
+    Millis nextOfferAt { 0 };
+    bool deliveryThreadFailed { false };
     std::unique_ptr<Leadership> leadership;
     std::shared_ptr<const tasks::Catalog> catalog;
 
-    BoundedRing<Command> commands;
-    std::map<std::uint64_t, Asked> asked;
+    BoundedRing<QueuedRequest> requestQueue;
+    std::map<std::uint64_t, UnansweredRequest> unansweredRequests;
     std::uint64_t lastTicket { 0 };
-    bool appendUnderWay { false };
-    bool claimUnderWay { false };
+    bool appendInFlight { false };
+    bool claimInFlight { false };
     Millis nextAppendAt { 0 };
-    Millis gaugesAt { 0 };
+    Millis nextGaugesAt { 0 };
     TrafficReport trafficReport;
 
-    std::mutex freshMutex;
-    std::optional<InstanceSettings> fresh; // Read again, and not taken yet.
+    std::mutex newSettingsMutex;
+    std::optional<InstanceSettings> newSettings; // Reloaded and not applied yet.
 
     std::thread thread;
     std::atomic<bool> stopping { false };
     std::atomic<bool> draining { false };
-    std::atomic<Millis> lastAnswerAt { std::numeric_limits<Millis>::max() };
-    std::atomic<bool> isReady { false };
+    std::atomic<Millis> answerDeadline { std::numeric_limits<Millis>::max() };
+    std::atomic<bool> gatewayReady { false };
 };
 
 } // namespace rattan::instance
--- a/src/instance/control_loop_delivery.cc
+++ b/src/instance/control_loop_delivery.cc
@@ -1,4 +1,4 @@
-// Carrying orders for the instance that plans, and having others carry them.
+// Relays orders for the planning instance, and uses other instances as relays while planning.
 
 #include "delivery/relay_offer.h"
 #include "instance/control_loop.h"
@@ -9,58 +9,58 @@
 
 using namespace detail;
 
-// Without it this instance plans as if there were no other, and carries nothing.
-void ControlLoop::startDeliveries()
+// Without the delivery thread, this instance plans without relays and is no relay itself.
+void ControlLoop::startDeliveryThread()
 {
     if (this->settings.peerAddress.empty())
         return;
-    if (const auto error = attemptVoid([&] { return this->deliveries.start(); }))
-        logEvent(events::carriesNothing, { { "address", this->settings.peerAddress }, { "why", error->message } });
-    this->deliveriesFailed = this->deliveries.hasFailed();
+    if (const auto error = attemptVoid([&] { return this->deliveryThread.start(); }))
+        logEvent(events::relayingUnavailable, { { "address", this->settings.peerAddress }, { "why", error->message } });
+    this->deliveryThreadFailed = this->deliveryThread.hasFailed();
 }
 
-// Orders of a session are a group of calls of their own; terms have the numbers above 0.
+// Each session has its own group of calls with a negative number; terms use positive numbers.
 std::unique_ptr<delivery::WorkerChannel> ControlLoop::channelFor(std::uint64_t session)
 {
     const int group = -static_cast<int>(session);
     return std::make_unique<delivery::DirectChannel>(this->client, this->protocols.workers, group, [] { return true; });
 }
 
-void ControlLoop::takeDeliveries(Millis now)
+void ControlLoop::processDeliveryEvents(Millis now)
 {
-    if (this->deliveries.hasFailed() && !this->deliveriesFailed) {
-        this->deliveriesFailed = true;
-        logEvent(events::carriesNothing, { { "address", this->settings.peerAddress }, { "why", "its thread has ended" } });
+    if (this->deliveryThread.hasFailed() && !this->deliveryThreadFailed) {
+        this->deliveryThreadFailed = true;
+        logEvent(events::relayingUnavailable, { { "address", this->settings.peerAddress }, { "why", "its thread has ended" } });
     }
-    while (const auto event = this->deliveries.next())
-        std::visit([&](const auto& row) { this->delivered(row, now); }, *event);
-    this->carrier.step(now);
-    this->offerRelay(now);
+    while (const auto event = this->deliveryThread.next())
+        std::visit([&](const auto& delivered) { this->handleDelivery(delivered, now); }, *event);
+    this->orderForwarder.step(now);
+    this->sendRelayOffer(now);
 }
 
-void ControlLoop::delivered(const delivery::AnswersReceived& answers, Millis now)
+void ControlLoop::handleDelivery(const delivery::AnswersReceived& answers, Millis now)
 {
     if (this->leadership)
-        this->leadership->answersArrived(answers, now);
+        this->leadership->answersReceived(answers, now);
 }
 
-void ControlLoop::delivered(const delivery::PeerLost& peer, Millis now)
+void ControlLoop::handleDelivery(const delivery::PeerLost& peer, Millis now)
 {
     if (this->leadership)
         this->leadership->peerLost(peer, now);
 }
 
-// Only where the jobs are known as they are now: a start needs the text of its job.
-void ControlLoop::offerRelay(Millis now)
+// Offers are sent only while the job table is recent, since sending a start requires its job.
+void ControlLoop::sendRelayOffer(Millis now)
 {
-    const bool knowsJobs = this->jobsReader.loaded() && now - this->jobsReader.confirmedAt() <= freshEnoughToCarry;
-    if (now < this->offerAt || !knowsJobs || this->deliveriesFailed || this->draining || this->election.leads(now))
+    const bool hasRecentJobs = this->jobsReader.loaded() && now - this->jobsReader.confirmedAt() <= maxJobsAgeForRelaying;
+    if (now < this->nextOfferAt || !hasRecentJobs || this->deliveryThreadFailed || this->draining || this->election.leads(now))
         return;
-    const std::string planner = this->peerOf(this->election.newestClaim().holder);
+    const std::string planner = this->peerAddressOf(this->election.newestClaim().holder);
     if (planner.empty())
         return;
-    this->offerAt = now + offerEvery;
-    const delivery::RelayOffer offer { .peer = {}, .domain = this->settings.domain, .capacity = { this->settings.processorShare, this->settings.linkMegabits } };
+    this->nextOfferAt = now + offerInterval;
+    const delivery::RelayOffer offer { .peer = {}, .domain = this->settings.domain, .capacity = { this->settings.processorCores, this->settings.linkMegabitsPerSecond } };
     this->peerSocket.send(planner, delivery::encodeOffer(offer));
 }
 
--- a/src/instance/leadership.h
+++ b/src/instance/leadership.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// One term of planning: from the moment this instance holds the newest claim
-// until it gives it up or loses it.
+// One term of planning: from the moment this instance holds the newest claim until it
+// resigns or loses the claim.
 //
-//     Leadership term(7, services, jobs);
-//     term.step(now, wall);          // only while the election says that this instance leads
-//     if (term.lost()) ...
+//     Leadership leadership(7, services, jobs, plans);
+//     leadership.step(now, wallTime); // only while the election reports this instance as leader
+//     if (leadership.isLost()) ...
 //
-// In order: fence records of earlier terms; read the jobs and the plans to where they
-// ended then; hand all of it to a planner; then carry out its orders. When it is destroyed, every call
-// that is under way is broken off; what was sent already may still arrive, which
-// the planner's rules allow for.
+// A term fences the appends of earlier terms, reads the streams of jobs and plans up to their
+// ends at that time, creates a planner from them, and then executes the planner's orders.
+// The destructor aborts all calls in flight. Orders that were already sent may still reach
+// their workers; the planner's protocol allows for that.
 
 #include "base/metrics.h"
 #include "delivery/direct_channel.h"
@@ -19,7 +19,7 @@
 #include "instance/settings.h"
 #include "instance/store_protocol.h"
 #include "instance/stream_reader.h"
-#include "instance/term_stream.h"
+#include "instance/term_appender.h"
 #include "instance/worker_clocks.h"
 #include "tasks/election.h"
 #include "tasks/task_planner.h"
@@ -30,15 +30,15 @@
 
 namespace rattan::instance {
 
-// What a term works with; all of it outlives the term.
+// The dependencies of a term. All of them must outlive it.
 struct TermServices {
     http::AsyncClient& client;
     const StoreProtocol& store;
     const delivery::WorkerProtocol& workers;
-    delivery::RelaySelector& roster;
-    delivery::DeliveryPort& port;
+    delivery::RelaySelector& relaySelector;
+    delivery::DeliveryPort& deliveryPort;
     const Clock& clock;
-    const tasks::Election& election; // Asked again before each order.
+    const tasks::Election& election; // Checked again before each order is sent.
     const InstanceSettings& settings;
     Metrics& metrics;
 };
@@ -51,77 +51,77 @@
     Leadership& operator=(const Leadership&) = delete;
 
     void applyCatalog(std::shared_ptr<const tasks::Catalog>);
-    void jobChanged(const tasks::JobTable::Change&, Millis now, Millis wall);
+    void jobChanged(const tasks::JobTable::Change&, Millis now, Millis wallTime);
 
-    // Everything appended to the jobs' stream before `at` is in the table.
-    void jobsConfirmed(Millis at, Millis now, Millis wall);
+    // Reports that the job table contains every record that was appended before `at`.
+    void jobsConfirmed(Millis at, Millis now, Millis wallTime);
 
-    // Everything appended to the stream of plans before `at` is in its table.
-    void plansConfirmed(Millis at, Millis now, Millis wall);
-    bool wantsPlans() const { return this->plansStream.fencedAt() > 0 && !this->plansKnown; }
+    // Reports that the plan table contains every record that was appended before `at`.
+    void plansConfirmed(Millis at, Millis now, Millis wallTime);
+    bool needsPlans() const { return this->plansAppender.fencedAt() > 0 && !this->plansLoaded; }
 
-    // True while the term cannot begin until the jobs' stream was read further.
-    bool wantsRead() const { return this->jobsStream.fencedAt() > 0 && !this->jobsKnown; }
+    // True while planning cannot begin until the jobs stream is read further.
+    bool needsJobsRead() const { return this->jobsAppender.fencedAt() > 0 && !this->jobsLoaded; }
 
-    void step(Millis now, Millis wall);
-    bool lost() const { return this->isLost || this->jobsStream.isLost() || this->plansStream.isLost() || (this->planner && this->planner->deposed()); }
-    Millis nextWake(Millis now, Millis wall) const;
-    std::int64_t term() const { return this->number; }
-    bool planning() const { return this->planner != nullptr; }
+    void step(Millis now, Millis wallTime);
+    bool isLost() const { return this->termLost || this->jobsAppender.isLost() || this->plansAppender.isLost() || (this->planner && this->planner->deposed()); }
+    Millis nextWake(Millis now, Millis wallTime) const;
+    std::int64_t term() const { return this->termNumber; }
+    bool isPlanning() const { return this->planner != nullptr; }
 
-    // What instances tell that carry orders for this one.
-    void answersArrived(const delivery::AnswersReceived& answers, Millis now) { this->channel.handleAnswers(answers, now); }
+    // Events of the instances that relay orders for this one.
+    void answersReceived(const delivery::AnswersReceived& answers, Millis now) { this->relayedChannel.handleAnswers(answers, now); }
     void peerLost(const delivery::PeerLost&, Millis now);
 
-    // What is read of the list of workers.
+    // StreamHandler, for the stream of workers.
     void recordRead(Stream, const StoreRecord&, Millis now) override;
-    void loadBegun(Stream) override;
+    void loadStarted(Stream) override;
     void streamConfirmed(Stream, std::int64_t end, Millis confirmedAt, Millis now) override;
     void streamFailed(Stream, const std::string& why, Millis now) override;
 
 private:
-    void beginPlanning(Millis now, Millis wall);
-    void plan(Millis now, Millis wall);
-    void carryOut(tasks::Orders, Millis now);
+    void beginPlanning(Millis now, Millis wallTime);
+    void runPlanner(Millis now, Millis wallTime);
+    void executeOrders(tasks::Orders, Millis now);
     void append(const tasks::RecordBatch&);
-    void stepRecords(Millis now);
-    void forgetOldJobs(Millis now);
+    void checkBatch(Millis now);
+    void forgetExpiredJobs(Millis now);
     void sendStart(const tasks::StartOrder&);
     void sendStop(const tasks::StopOrder&);
     void sendPoll(const tasks::PollOrder&, Millis now);
-    void observeOrder(const char* kind, Millis sentAt, Millis now);
-    bool stillLeads();
-    void tellWorkers(Millis now);
+    void observeOrderTime(const char* kind, Millis sentAt, Millis now);
+    bool confirmLeadership();
+    void updateWorkers(Millis now);
     void sendAdvice(const tasks::AdviceOrder&);
-    void sendPollsLeft(Millis now);
-    void logRound(Millis took) const;
+    void sendRemainingPolls(Millis now);
+    void logSlowRound(Millis duration) const;
     void logPlanEvent(const tasks::PlanEvent&) const;
 
-    const std::int64_t number;
+    const std::int64_t termNumber;
     TermServices services;
     const tasks::JobTable& jobs;
     std::shared_ptr<const tasks::Catalog> catalog;
     std::unique_ptr<tasks::TaskPlanner> planner;
-    delivery::DirectChannel direct;
-    delivery::RelayedChannel channel;
-    StreamReader workerList;
+    delivery::DirectChannel directChannel;
+    delivery::RelayedChannel relayedChannel;
+    StreamReader workersReader;
     std::map<std::string, tasks::WorkerSighting> sightings;
     std::map<std::string, tasks::WorkerSighting> loadingSightings;
-    bool loadingList { false };
-    bool listChanged { false };
-    WorkerClocks clocks;
+    bool loadingWorkerList { false };
+    bool workerListChanged { false };
+    WorkerClocks workerClocks;
 
-    TermStream jobsStream;
-    TermStream plansStream;
+    TermAppender jobsAppender;
+    TermAppender plansAppender;
     const tasks::PlanTable& plans;
-    bool jobsKnown { false }; // As they were when earlier terms could not append any more,
-    bool plansKnown { false }; // and so are the plans.
-    std::int64_t batchUnderWay { 0 }; // 0: none.
+    bool jobsLoaded { false }; // The job table contains all appends of earlier, now fenced, terms.
+    bool plansLoaded { false }; // The same for the plan table.
+    std::int64_t batchInFlight { 0 }; // Number of the batch, or 0 if there is none.
     Millis batchSentAt { 0 };
-    Millis forgetAt { 0 };
-    Millis nextTurn { 0 }; // Of the planner.
-    Millis nextPolls { 0 }; // Of those that were left over in its turn.
-    bool isLost { false };
+    Millis nextForgetAt { 0 };
+    Millis nextPlanAt { 0 }; // Earliest time of the next planner run.
+    Millis nextPollsAt { 0 }; // Earliest time to send polls that the last planner run left over.
+    bool termLost { false };
 };
 
 } // namespace rattan::instance
--- /dev/null
+++ b/src/instance/request_forwarder.h
@@ -0,0 +1,59 @@
+#pragma once
+
+// Forwards callers' requests to another instance while this instance cannot reach the store
+// and the other one can.
+//
+//     RequestForwarder forwarder(client, protocol, clock, "10.1.0.7:8287");
+//     forwarder.plannerSeen("10.2.0.9:8287");
+//     if (forwarder.shouldForward(request, answer, waitTime))
+//         forwarder.forward(request, answer, waitTime, [&](const CallerAnswer& final) { ... });
+//
+// Failure that this prevents: the store rejects some instances. Their callers are told to
+// retry in a second, or get job states from before the cut, while an urgent job can afford a
+// delay of 1.5 s. The symptom is refusals on some instances only.
+//
+// A request is forwarded at most once: the instance that receives it answers it. Forwarding
+// never weakens an answer: if the outcome of a request is unknown here, a refusal of the
+// other instance does not turn it into "not run". Handlers run on the client's thread.
+
+#include "http/async_client.h"
+#include "instance/caller_protocol.h"
+#include "instance/forwarding_peers.h"
+
+#include <functional>
+#include <limits>
+#include <string>
+
+namespace rattan::instance {
+
+class RequestForwarder {
+public:
+    using Handler = std::function<void(const CallerAnswer&)>;
+
+    RequestForwarder(http::AsyncClient&, const CallerProtocol&, const Clock&, std::string ownAddress);
+
+    // Reports that the instance at this address holds the newest claim.
+    void plannerSeen(const std::string& address) { this->peers.plannerSeen(address); }
+
+    // Sets the time after which no answer of another instance is awaited. Used at shutdown.
+    void setAnswerDeadline(Millis at) { this->answerDeadline = at; }
+
+    // Whether another instance may have a better answer and there is enough time to get it.
+    // `waitTime` is how long the caller has waited already.
+    bool shouldForward(const CallerRequest&, const CallerAnswer&, Millis waitTime) const;
+
+    // Forwards the request and calls the handler exactly once, with the answer that results
+    // from the other instance's answer and this instance's own one.
+    void forward(const CallerRequest&, const CallerAnswer& ownAnswer, Millis waitTime, Handler);
+
+private:
+    Millis remainingTime(const CallerRequest&, Millis waitTime) const;
+
+    http::AsyncClient& client;
+    const CallerProtocol& protocol;
+    const Clock& clock;
+    ForwardingPeers peers;
+    Millis answerDeadline { std::numeric_limits<Millis>::max() };
+};
+
+} // namespace rattan::instance
--- a/src/instance/stream_reader.cc
+++ b/src/instance/stream_reader.cc
@@ -1,6 +1,6 @@
-// Pages of a load are no snapshot: records may be appended between two of them.
-// So reading goes on from where the stream ended at the first page, and the
-// handler keeps the record with the higher offset.
+// The pages of a load are not a snapshot, since records may be appended between two pages.
+// Reads therefore continue from the end of the stream as of the first page, and the handler
+// keeps the record with the higher offset.
 
 #include "instance/stream_reader.h"
 
@@ -10,12 +10,12 @@
 
 namespace {
 
-    // After a call that failed, doubling up to the longest: a store that is down
-    // answers no sooner for being asked more, and every call has its price.
-    constexpr Millis firstPause = 50;
-    constexpr Millis longestPause = 400;
+    // Delay after a failed call, doubled up to the maximum. More calls do not make an unavailable
+    // store answer earlier, and each has a cost.
+    constexpr Millis minRetryDelay = 50;
+    constexpr Millis maxRetryDelay = 400;
 
-    constexpr std::chrono::milliseconds connectLimit { 600 };
+    constexpr std::chrono::milliseconds connectTimeout { 600 };
 
 } // namespace
 
@@ -30,22 +30,22 @@
 
 void StreamReader::step(Millis now)
 {
-    if (this->callUnderWay || now < this->notBefore || (!this->hurried && now < this->gathersUntil))
+    if (this->callInFlight || now < this->nextReadAt || (!this->lowLatency && now < this->batchUntil))
         return;
-    if (this->next < 0 || this->loading)
+    if (this->nextOffset < 0 || this->loading)
         this->load();
     else
-        this->read(this->waitsNow() ? this->options.wait : 0, false);
+        this->read(this->shouldWait() ? this->options.wait : 0, false);
 }
 
-// The first read after a failure does not wait: it would confirm only when its wait is
-// over that nothing has changed. Until then the operators' configuration counts as unknown,
-// and every caller with a key is turned away.
-bool StreamReader::waitsNow() const { return this->options.pause == 0 && this->failurePause == 0; }
+// The first read after a failure does not wait, since a waiting read would confirm an unchanged
+// stream only at the end of its wait. Until then, the operators' configuration counts as
+// outdated, and every caller with a key is refused.
+bool StreamReader::shouldWait() const { return this->options.readInterval == 0 && this->retryDelay == 0; }
 
 void StreamReader::probe()
 {
-    if (!this->probeUnderWay && this->loaded())
+    if (!this->probeInFlight && this->loaded())
         this->read(0, true);
 }
 
@@ -54,101 +54,101 @@
     const Millis sentAt = this->clock.now();
     if (!this->loading) {
         this->loading = true;
-        this->loadedTo.clear();
+        this->lastLoadedKey.clear();
         this->loadEnd = -1;
         this->loadSentAt = sentAt;
-        this->handler.loadBegun(this->options.stream);
+        this->handler.loadStarted(this->options.stream);
     }
-    http::Call call = this->protocol.newest(this->options.stream, this->loadedTo);
+    http::Call call = this->protocol.newest(this->options.stream, this->lastLoadedKey);
     call.purpose = "load";
     call.address = this->options.address;
     call.timeout = std::chrono::milliseconds(this->options.timeout);
     call.timeoutWhileSilent = true;
-    call.connectTimeout = connectLimit;
-    this->callUnderWay = true;
+    call.connectTimeout = connectTimeout;
+    this->callInFlight = true;
     this->client.send(std::move(call), [this, sentAt](const http::Reply& reply) {
-        this->callUnderWay = false;
-        this->pageRead(reply, sentAt);
+        this->callInFlight = false;
+        this->handlePage(reply, sentAt);
     });
 }
 
-void StreamReader::pageRead(const http::Reply& reply, Millis)
+void StreamReader::handlePage(const http::Reply& reply, Millis)
 {
     const Attempt<NewestPage> page = attempt([&] { return this->protocol.parseNewest(reply); });
     if (!page.value)
-        return this->failed(page.error.message);
+        return this->handleFailure(page.error.message);
     const Millis now = this->clock.now();
-    this->failurePause = 0;
+    this->retryDelay = 0;
     if (this->loadEnd < 0)
         this->loadEnd = page.value->end;
     for (const StoreRecord& record : page.value->records)
         this->handler.recordRead(this->options.stream, record, now);
-    if (page.value->more && !page.value->records.empty()) {
-        this->loadedTo = page.value->records.back().key;
+    if (page.value->hasMore && !page.value->records.empty()) {
+        this->lastLoadedKey = page.value->records.back().key;
         return;
     }
     this->loading = false;
-    this->next = this->loadEnd;
+    this->nextOffset = this->loadEnd;
     this->confirm(this->loadSentAt);
 }
 
 void StreamReader::read(Millis wait, bool isProbe)
 {
     const Millis sentAt = this->clock.now();
-    const std::int64_t from = this->next;
+    const std::int64_t from = this->nextOffset;
     http::Call call = this->protocol.read(this->options.stream, from, wait);
     call.purpose = nameOf(this->options.stream);
     call.address = this->options.address;
     call.timeout = std::chrono::milliseconds(wait + this->options.timeout);
     call.timeoutWhileSilent = true;
-    call.connectTimeout = connectLimit;
-    (isProbe ? this->probeUnderWay : this->callUnderWay) = true;
+    call.connectTimeout = connectTimeout;
+    (isProbe ? this->probeInFlight : this->callInFlight) = true;
     this->client.send(std::move(call), [this, isProbe, from, wait, sentAt](const http::Reply& reply) {
-        (isProbe ? this->probeUnderWay : this->callUnderWay) = false;
-        this->recordsRead(reply, from, wait, sentAt);
+        (isProbe ? this->probeInFlight : this->callInFlight) = false;
+        this->handleRecords(reply, from, wait, sentAt);
     });
 }
 
-void StreamReader::recordsRead(const http::Reply& reply, std::int64_t from, Millis wait, Millis sentAt)
+void StreamReader::handleRecords(const http::Reply& reply, std::int64_t from, Millis wait, Millis sentAt)
 {
     const Attempt<ReadReply> read = attempt([&] { return this->protocol.parseRead(reply, from); });
     if (!read.value)
-        return this->failed(read.error.message);
+        return this->handleFailure(read.error.message);
     const Millis now = this->clock.now();
-    this->failurePause = 0;
+    this->retryDelay = 0;
     if (this->loading)
-        return; // A probe that was overtaken by a load.
+        return; // The response belongs to a probe, and a load has begun since.
     if (read.value->dropped) {
-        this->next = -1;
+        this->nextOffset = -1;
         return;
     }
     for (const StoreRecord& record : read.value->records) {
-        if (record.offset < this->next)
+        if (record.offset < this->nextOffset)
             continue;
         this->handler.recordRead(this->options.stream, record, now);
-        this->next = record.offset + 1;
+        this->nextOffset = record.offset + 1;
     }
-    this->notBefore = now + this->options.pause;
+    this->nextReadAt = now + this->options.readInterval;
     if (!read.value->records.empty())
-        this->gathersUntil = now + this->options.gather;
-    // An answer without records was given when its wait was over.
-    const bool waited = read.value->records.empty() && now - sentAt >= wait;
-    if (this->next >= read.value->end)
-        this->confirm(waited ? sentAt + wait : sentAt);
+        this->batchUntil = now + this->options.batchInterval;
+    // A response without records was sent at the end of the wait, and confirms that time.
+    const bool waitExpired = read.value->records.empty() && now - sentAt >= wait;
+    if (this->nextOffset >= read.value->end)
+        this->confirm(waitExpired ? sentAt + wait : sentAt);
 }
 
-void StreamReader::failed(const std::string& why)
+void StreamReader::handleFailure(const std::string& why)
 {
     const Millis now = this->clock.now();
-    this->failurePause = std::clamp(this->failurePause * 2, firstPause, longestPause);
-    this->notBefore = now + this->failurePause;
+    this->retryDelay = std::clamp(this->retryDelay * 2, minRetryDelay, maxRetryDelay);
+    this->nextReadAt = now + this->retryDelay;
     this->handler.streamFailed(this->options.stream, why, now);
 }
 
 void StreamReader::confirm(Millis at)
 {
-    this->confirmed = std::max(this->confirmed, at);
-    this->handler.streamConfirmed(this->options.stream, this->next, this->confirmed, this->clock.now());
+    this->confirmedTime = std::max(this->confirmedTime, at);
+    this->handler.streamConfirmed(this->options.stream, this->nextOffset, this->confirmedTime, this->clock.now());
 }
 
 } // namespace rattan::instance
