--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -128,13 +128,13 @@
     if (this->planner || !this->jobsKnown || !this->plansKnown)
         return;
     tasks::PlannerOptions options;
-    options.longestLease = this->services.settings.longestLease;
+    options.maxLease = this->services.settings.longestLease;
     options.stopTimeout = this->services.settings.stopTimeout;
-    options.advised = !this->services.settings.adviceAddress.empty();
+    options.hasAdviceService = !this->services.settings.adviceAddress.empty();
     this->planner = std::make_unique<tasks::TaskPlanner>(options, this->jobs, this->plans, now, wall);
     this->planner->applyCatalog(this->catalog);
     this->listChanged = true;
-    logEvent(events::leading, { { "term", this->number }, { "jobs", this->jobs.all().size() }, { "plans", this->plans.all().size() }, { "runs", this->planner->runs() } });
+    logEvent(events::leading, { { "term", this->number }, { "jobs", this->jobs.all().size() }, { "plans", this->plans.all().size() }, { "runs", this->planner->runCount() } });
     if (this->plans.unreadable() > 0)
         logEvent(events::recordUnreadable, { { "stream", "plans" }, { "records", this->plans.unreadable() } });
 }
@@ -151,7 +151,7 @@
     this->stepRecords(now);
     if (now >= this->nextTurn)
         this->plan(now, wall);
-    else if (now >= this->nextPolls && this->planner->hasPollsLeft())
+    else if (now >= this->nextPolls && this->planner->hasDuePolls())
         this->sendPollsLeft(now);
     this->jobsStream.step(now);
     this->plansStream.step(now);
@@ -167,17 +167,17 @@
     this->planner->step(now, wall);
     // On a weak machine rounds must not keep the term from being renewed.
     const Millis took = this->services.clock.now() - now;
-    this->planner->stepTook(took, this->services.clock.now());
+    this->planner->reportStepDuration(took, this->services.clock.now());
     if (took >= slowRound)
         this->logRound(took);
-    this->carryOut(this->planner->take(now), now);
+    this->carryOut(this->planner->takeOrders(now), now);
     const Millis ended = this->services.clock.now();
     this->nextTurn = ended + (ended - now) * turnRest;
 }
 
 void Leadership::sendPollsLeft(Millis now)
 {
-    for (const tasks::PollOrder& order : this->planner->takePolls(now).polls)
+    for (const tasks::PollOrder& order : this->planner->takeDuePolls(now).polls)
         this->sendPoll(order, now);
     const Millis ended = this->services.clock.now();
     this->nextPolls = ended + std::max<Millis>(ended - now, 1);
@@ -189,7 +189,7 @@
         return;
     if (now - this->batchSentAt >= slowRecord)
         logEvent(events::recordSlow, { { "batch", this->batchUnderWay }, { "took_ms", now - this->batchSentAt }, { "term", this->number } });
-    this->planner->recorded(std::exchange(this->batchUnderWay, 0), now);
+    this->planner->batchRecorded(std::exchange(this->batchUnderWay, 0), now);
 }
 
 void Leadership::append(const tasks::RecordBatch& batch)
@@ -209,7 +209,7 @@
         seen.push_back(sighting);
         places.push_back({ id, sighting.domain });
     }
-    this->planner->workersSeen(seen, now);
+    this->planner->workersListed(seen, now);
     this->services.roster.setWorkers(std::move(places));
 }
 
@@ -242,7 +242,7 @@
         if (over && old.size() < mostForgotten)
             old.push_back(id);
     }
-    this->planner->forget(old);
+    this->planner->forgetJobs(old);
 }
 
 Millis Leadership::nextWake(Millis now, Millis wall) const
@@ -250,7 +250,7 @@
     if (!this->planner)
         return now + listPause;
     Millis nextPlan = std::max(this->planner->nextWake(now, wall), this->nextTurn);
-    if (this->planner->hasPollsLeft())
+    if (this->planner->hasDuePolls())
         nextPlan = std::min(nextPlan, std::max(now, this->nextPolls));
     return std::min({ nextPlan, this->channel.nextWake(), now + listPause });
 }
@@ -341,16 +341,16 @@
 void Leadership::sendPoll(const tasks::PollOrder& order, Millis now)
 {
     std::optional<Millis> leaseEnd;
-    if (const auto shown = this->clocks.show(order.worker, now); shown && order.renews)
+    if (const auto shown = this->clocks.show(order.worker, now); shown && order.renewsLease)
         leaseEnd = *shown + this->services.settings.longestLease;
     this->channel.send({ order, this->number, leaseEnd }, [this, order, now](const WorkerAnswer& answer) {
         const auto& reply = std::get<PollReply>(answer.reply);
         const Millis heardAt = this->services.clock.now();
         this->services.metrics.count("rattan_orders_total", { { "order", "poll" }, { "outcome", reply.report ? "answered" : std::string(tasks::nameOf(reply.fault)) } });
         if (!reply.report)
-            return this->planner->pollFailed(order.worker, order.beside, reply.fault, heardAt);
+            return this->planner->pollFailed(order.worker, order.concurrent, reply.fault, heardAt);
         this->clocks.heard(order.worker, reply.report->clock, heardAt);
-        this->planner->pollAnswered(order.worker, now, order.beside, *reply.report, heardAt);
+        this->planner->pollAnswered(order.worker, now, order.concurrent, *reply.report, heardAt);
     });
 }
 
--- a/src/tasks/orders.h
+++ b/src/tasks/orders.h
@@ -30,14 +30,14 @@
     RunRef run;
 };
 
-// Asks a worker what runs and has ended there, and renews its lease.
+// Asks a worker what runs and has ended there, and renewsLease its lease.
 struct PollOrder {
     Incarnation worker;
     std::string address;
     std::int64_t acknowledged { 0 }; // Ends up to this number are durable.
     Millis wait { 0 }; // The answer may wait this long for an end; 0: at once.
-    bool renews { true }; // False: its lease is left as it is.
-    bool beside { false }; // Sent while another poll waits at that worker.
+    bool renewsLease { true }; // False: its lease is left as it is.
+    bool concurrent { false }; // Sent while another poll waits at that worker.
 };
 
 // Asks the advice service which of these workers may run a step.
--- a/src/tasks/task_planner.cc
+++ b/src/tasks/task_planner.cc
@@ -18,30 +18,30 @@
 
 TaskPlanner::TaskPlanner(PlannerOptions options, const JobTable& table, const PlanTable& plans, Millis now, Millis wall)
     : options(options)
-    , begunAt(now)
-    , table(table)
+    , termStartedAt(now)
+    , jobTable(table)
     , catalog(std::make_shared<Catalog>())
 {
-    restoreLearned(plans.learned(), this->runTimes, this->speeds);
-    static const Progress nothing;
+    restoreLearned(plans.learned(), this->runTimes, this->workerSpeeds);
+    static const Progress emptyPlan;
     for (const auto& [id, entry] : table.all()) {
         const Progress* plan = plans.find(id);
         if (entry.job && !isFinal(entry.state))
-            this->adopt(entry, plan ? *plan : nothing, now, wall);
+            this->adoptJob(entry, plan ? *plan : emptyPlan, now, wall);
     }
     for (const auto& [id, plan] : plans.all()) {
         if (!this->jobs.contains(id))
-            this->plansOver.push_back(id);
+            this->obsoletePlans.push_back(id);
     }
 }
 
-void TaskPlanner::applyCatalog(std::shared_ptr<const Catalog> newest)
+void TaskPlanner::applyCatalog(std::shared_ptr<const Catalog> newCatalog)
 {
-    this->catalog = std::move(newest);
+    this->catalog = std::move(newCatalog);
     this->pacer.changed();
 }
 
-void TaskPlanner::adopt(const JobEntry& entry, const Progress& plan, Millis now, Millis wall)
+void TaskPlanner::adoptJob(const JobEntry& entry, const Progress& plan, Millis now, Millis wall)
 {
     const Job& job = *entry.job;
     ActiveJob& active = this->jobs[job.id];
@@ -56,11 +56,11 @@
     // Its end is in the plan, and the earlier planner was gone before callers could be told.
     if (isFinal(plan.state)) {
         this->markDirty(job.id);
-        this->markUrgent();
+        this->requestImmediateRecord();
         return;
     }
     this->adoptUnits(active, plan, now);
-    this->beginDue(active, now, wall);
+    this->beginDueOccurrences(active, now, wall);
     if (entry.cancelled)
         this->jobCancelled(job.id, now);
 }
@@ -93,7 +93,7 @@
         if (progress.state == UnitState::Running)
             this->adoptRun(*unit, progress, now);
         else if (unit->crashes.isExhausted(unit->run))
-            this->exhausted.insert(unit->key); // The earlier planner died before it gave the job up.
+            this->exhaustedUnits.insert(unit->key); // The earlier planner died before it gave the job up.
     }
 }
 
@@ -120,7 +120,7 @@
         worker.seen.incarnation.born = std::max(worker.seen.incarnation.born, incarnation.born);
         // The earlier planner may not know yet that it is followed, and renew leases at workers
         // that this one does not reach. Counted shorter, their tasks would run twice at a time.
-        this->grantLease(worker, now + this->options.earlierTerm);
+        this->grantLease(worker, now + this->options.predecessorGrace);
         PlacedRun placedRun { .run = { unit.task(static_cast<std::int64_t>(member)), unit.run }, .unit = unit.key };
         placedRun.inherited = true;
         placedRun.phase = RunPhase::Starting;
@@ -133,12 +133,12 @@
 
 void TaskPlanner::jobAccepted(const std::shared_ptr<const Job>& job, Millis now, Millis wall)
 {
-    if (this->jobs.contains(job->id) || this->finished.contains(job->id))
+    if (this->jobs.contains(job->id) || this->finishedJobs.contains(job->id))
         return;
     ActiveJob& active = this->jobs[job->id];
     active.job = job;
     active.text = std::make_shared<const std::string>(job->text);
-    this->beginDue(active, now, wall);
+    this->beginDueOccurrences(active, now, wall);
     this->pacer.changed();
 }
 
@@ -148,7 +148,7 @@
         this->finishJob(id, JobState::Cancelled, "cancelled by its caller", now);
 }
 
-void TaskPlanner::beginDue(ActiveJob& active, Millis now, Millis wall)
+void TaskPlanner::beginDueOccurrences(ActiveJob& active, Millis now, Millis wall)
 {
     const Job& job = *active.job;
     while (active.nextOccurrence < job.occurrences()) {
@@ -163,10 +163,10 @@
 {
     Occurrence& occurrence = active.occurrences[number];
     occurrence.steps.resize(active.job->steps.size());
-    this->beginSteps(active, number, now);
+    this->beginReadySteps(active, number, now);
 }
 
-void TaskPlanner::beginSteps(ActiveJob& active, std::int64_t number, Millis now)
+void TaskPlanner::beginReadySteps(ActiveJob& active, std::int64_t number, Millis now)
 {
     Occurrence& occurrence = active.occurrences.at(number);
     for (std::size_t i = 0; i < occurrence.steps.size(); ++i) {
@@ -178,14 +178,14 @@
         if (!ready)
             continue;
         state.begun = true;
-        const auto number64 = static_cast<std::int64_t>(i);
+        const auto stepIndex = static_cast<std::int64_t>(i);
         const std::int64_t first = step.gang ? wholeGang : 0;
         const std::int64_t end = step.gang ? 0 : step.count;
         for (std::int64_t index = first; index < end; ++index) {
-            if (occurrence.doneUnits.contains({ number64, index }))
+            if (occurrence.doneUnits.contains({ stepIndex, index }))
                 continue;
             ++state.left;
-            this->addUnit(active, { active.job->id, number, number64, index }, now);
+            this->addUnit(active, { active.job->id, number, stepIndex, index }, now);
         }
         // All of it was done under an earlier planner; later steps may follow.
         state.done = state.left == 0;
@@ -196,13 +196,13 @@
 {
     this->waitingUnits.insert(unit.key);
     if (unit.job->terms.priority == 0)
-        this->urgentUnits.insert(unit.key);
+        this->urgentWaitingUnits.insert(unit.key);
 }
 
 void TaskPlanner::dequeue(const UnitKey& key)
 {
     this->waitingUnits.erase(key);
-    this->urgentUnits.erase(key);
+    this->urgentWaitingUnits.erase(key);
 }
 
 void TaskPlanner::addUnit(ActiveJob& active, const UnitKey& key, Millis now)
@@ -215,12 +215,12 @@
     this->pacer.changed();
 }
 
-void TaskPlanner::unitDone(const UnitKey& key, Millis now)
+void TaskPlanner::completeUnit(const UnitKey& key, Millis now)
 {
     const auto found = this->units.find(key);
     Unit& unit = found->second;
-    this->learn(unit, now);
-    ++this->unitsDone;
+    this->learnRunTime(unit, now);
+    ++this->completedUnitCount;
     for (std::size_t member = 0; member < unit.workers.size(); ++member) {
         Worker* worker = this->find(unit.workers[member]);
         if (!worker)
@@ -233,33 +233,33 @@
     this->isolatedUnits.erase(key);
     this->units.erase(found);
 
-    const UnitKey done = key;
-    ActiveJob& active = this->jobs.at(done.job);
-    Occurrence& occurrence = active.occurrences.at(done.occurrence);
-    occurrence.doneUnits.emplace(done.step, done.index);
-    StepState& step = occurrence.steps[static_cast<std::size_t>(done.step)];
+    const UnitKey doneUnit = key;
+    ActiveJob& active = this->jobs.at(doneUnit.job);
+    Occurrence& occurrence = active.occurrences.at(doneUnit.occurrence);
+    occurrence.doneUnits.emplace(doneUnit.step, doneUnit.index);
+    StepState& step = occurrence.steps[static_cast<std::size_t>(doneUnit.step)];
     step.done = --step.left == 0;
-    this->markDirty(done.job);
+    this->markDirty(doneUnit.job);
     this->pacer.changed();
     if (!step.done)
         return;
-    this->speeds.learnSiblings(step.samples);
+    this->workerSpeeds.learnSiblings(step.samples);
     step.samples.clear();
-    this->beginSteps(active, done.occurrence, now);
+    this->beginReadySteps(active, doneUnit.occurrence, now);
     for (const StepState& state : occurrence.steps) {
         if (!state.done)
             return;
     }
-    active.occurrences.erase(done.occurrence);
-    active.doneOutOfOrder.insert(done.occurrence);
+    active.occurrences.erase(doneUnit.occurrence);
+    active.doneOutOfOrder.insert(doneUnit.occurrence);
     while (active.doneOutOfOrder.erase(active.occurrencesDone) > 0)
         ++active.occurrencesDone;
     if (active.occurrencesDone >= active.job->occurrences())
-        this->finishJob(done.job, JobState::Completed, "", now);
+        this->finishJob(doneUnit.job, JobState::Completed, "", now);
 }
 
 // From runs that went from nothing to their end before this planner's eyes.
-void TaskPlanner::learn(const Unit& unit, Millis now)
+void TaskPlanner::learnRunTime(const Unit& unit, Millis now)
 {
     if (unit.startedAt == 0 || unit.progressAtStart > 0 || unit.adopted || unit.placedFar || unit.step().longRunning)
         return;
@@ -268,15 +268,15 @@
     for (const Incarnation& incarnation : unit.workers)
         ids.push_back(incarnation.id);
     const std::string& queue = unit.job->terms.queue;
-    const RunTimes::Forecast forecast = this->runTimes.expect(queue, unit.step().estimate);
-    this->runTimes.learn(queue, unit.step().estimate, static_cast<double>(took) * this->speeds.slowestOf(ids));
+    const RunTimes::Forecast expected = this->runTimes.expect(queue, unit.step().estimate);
+    this->runTimes.learn(queue, unit.step().estimate, static_cast<double>(took) * this->workerSpeeds.slowestOf(ids));
     if (unit.key.index == wholeGang || unit.step().count == 1)
-        this->speeds.learnGang(ids, forecast, took);
+        this->workerSpeeds.learnGang(ids, expected, took);
     else
         this->jobs.at(unit.key.job).occurrences.at(unit.key.occurrence).steps[static_cast<std::size_t>(unit.key.step)].samples.push_back({ ids.front(), took });
 }
 
-void TaskPlanner::runOver(Unit& unit, Millis now)
+void TaskPlanner::requeueUnit(Unit& unit, Millis now)
 {
     const bool failed = unit.failed;
     unit.state = UnitState::Waiting;
@@ -285,20 +285,20 @@
     unit.stopping = false;
     unit.startedAt = 0;
     unit.waitingSince = now;
-    unit.notBefore = failed ? now + retryPause : now;
+    unit.notBefore = failed ? now + retryDelay : now;
     this->isolatedUnits.erase(unit.key);
     this->enqueue(unit);
     this->markDirty(unit.key.job);
     this->pacer.changed();
     this->emit(PlanEventKind::UnitRetried, unit.key, unit.run, "", failed ? "failed" : "ended early");
     if (unit.crashes.isExhausted(unit.run))
-        this->exhausted.insert(unit.key);
+        this->exhaustedUnits.insert(unit.key);
 }
 
 // Counted by the number of the run, whether or not anybody still waits for it: an
 // end may be told long after its run was given up as lost, or a second time to a
 // planner that has taken over.
-void TaskPlanner::countFailure(const RunRef& run, Millis now)
+void TaskPlanner::countFailedRun(const RunRef& run, Millis now)
 {
     Unit* unit = this->find(this->unitOf(run.task));
     if (!unit || unit->step().longRunning || !unit->failedRuns.insert(run.run).second)
@@ -316,7 +316,7 @@
         return;
     active.state = state;
     active.reason = std::move(reason);
-    this->markUrgent();
+    this->requestImmediateRecord();
     this->emit(PlanEventKind::JobFinished, { id, 0, 0, 0 }, 0, "", fmt::format("{} {}", nameOf(state), active.reason));
     this->dropUnits(active.job->id, now);
     this->markDirty(active.job->id);
@@ -348,7 +348,7 @@
         placedRun.stray = true;
         placedRun.wantStop(now);
         if (placedRun.phase == RunPhase::Recording)
-            this->memberGone(*worker, run, std::nullopt, "", now);
+            this->removeMember(*worker, run, std::nullopt, "", now);
     }
 }
 
@@ -360,7 +360,7 @@
 
 UnitKey TaskPlanner::unitOf(const TaskRef& task) const
 {
-    const JobEntry* entry = this->table.find(task.job);
+    const JobEntry* entry = this->jobTable.find(task.job);
     const bool gang = entry && task.step >= 0 && task.step < static_cast<std::int64_t>(entry->job->steps.size())
         && entry->job->steps[static_cast<std::size_t>(task.step)].gang;
     return { task.job, task.occurrence, task.step, gang ? wholeGang : task.index };
@@ -371,7 +371,7 @@
 Room TaskPlanner::roomOf(const TaskRef& task) const
 {
     const auto active = this->jobs.find(task.job);
-    const JobEntry* entry = this->table.find(task.job);
+    const JobEntry* entry = this->jobTable.find(task.job);
     const Job* job = active != this->jobs.end() ? active->second.job.get() : entry ? entry->job.get()
                                                                                    : nullptr;
     if (!job || task.step < 0 || task.step >= static_cast<std::int64_t>(job->steps.size()))
@@ -383,7 +383,7 @@
     return room;
 }
 
-std::size_t TaskPlanner::runs() const
+std::size_t TaskPlanner::runCount() const
 {
     std::size_t count = 0;
     for (const auto& [id, worker] : this->workers)
@@ -391,7 +391,7 @@
     return count;
 }
 
-std::size_t TaskPlanner::knownWorkers() const
+std::size_t TaskPlanner::knownWorkerCount() const
 {
     std::size_t count = 0;
     for (const auto& [id, worker] : this->workers)
--- a/src/tasks/task_planner_advice.cc
+++ b/src/tasks/task_planner_advice.cc
@@ -20,78 +20,78 @@
 
 const std::string* TaskPlanner::ticketFor(const UnitKey& unit, const Incarnation& incarnation, Millis now) const
 {
-    const auto found = this->advice.find(stepOf(unit));
-    return found == this->advice.end() ? nullptr : found->second.ticketFor(incarnation, now);
+    const auto found = this->adviceByStep.find(stepOf(unit));
+    return found == this->adviceByStep.end() ? nullptr : found->second.ticketFor(incarnation, now);
 }
 
-std::set<std::string> TaskPlanner::allowedWorkers(const StepAdvice& known, const Snapshot& snapshot, Millis now) const
+std::set<std::string> TaskPlanner::allowedWorkers(const StepAdvice& stepAdvice, const Snapshot& snapshot, Millis now) const
 {
     std::set<std::string> allowed;
     for (const SnapshotWorker& worker : snapshot.workers) {
-        if (known.ticketFor(this->workers.at(worker.id).seen.incarnation, now + ticketSpare))
+        if (stepAdvice.ticketFor(this->workers.at(worker.id).seen.incarnation, now + minTicketValidity))
             allowed.insert(worker.id);
     }
     return allowed;
 }
 
 // Workers that could take a member and of which it is not known whether they may.
-std::vector<Askable> TaskPlanner::askable(const StepAdvice& known, const Snapshot& snapshot, const PlacementRequest& request, Millis now) const
+std::vector<Askable> TaskPlanner::adviceCandidates(const StepAdvice& stepAdvice, const Snapshot& snapshot, const PlacementRequest& request, Millis now) const
 {
-    std::vector<Askable> open;
+    std::vector<Askable> candidates;
     PlacementRequest anywhere = request;
     anywhere.allowed = nullptr;
     for (const SnapshotWorker& worker : snapshot.workers) {
         const Incarnation& incarnation = this->workers.at(worker.id).seen.incarnation;
-        if (!snapshot.suits(worker, anywhere) || !request.each.within(worker.capacity) || !known.isOpen(incarnation, now + ticketSpare))
+        if (!snapshot.suits(worker, anywhere) || !request.each.within(worker.capacity) || !stepAdvice.isOpen(incarnation, now + minTicketValidity))
             continue;
-        open.push_back({ &worker, worker.rack == request.rack, request.each.within(worker.free) && request.each.within(worker.afterStops) });
+        candidates.push_back({ &worker, worker.rack == request.rack, request.each.within(worker.free) && request.each.within(worker.afterStops) });
     }
-    return open;
+    return candidates;
 }
 
 // Tickets run out, so a step whose workers are busy asks again and again; a few of those
 // would take all questions, and steps after them would never have one. So who has asked lets
 // all others go first. Rounds of urgent units come between and need not wait.
-bool TaskPlanner::isAdviceTurn(StepAdvice& known)
+bool TaskPlanner::claimAdviceTurn(StepAdvice& stepAdvice)
 {
-    const bool takesTurns = this->round.kind == RoundKind::Whole;
-    if (takesTurns && known.askedIn == this->advicePass)
+    const bool isWholeRound = this->round.kind == RoundKind::Whole;
+    if (isWholeRound && stepAdvice.askedIn == this->advicePass)
         return false;
-    if (this->adviceUnderWay >= mostAdviceUnderWay) {
-        this->isAdviceLeft = true;
+    if (this->pendingAdviceRequests >= maxPendingAdviceRequests) {
+        this->hasDeferredAdvice = true;
         return false;
     }
-    if (takesTurns)
-        known.askedIn = this->advicePass;
+    if (isWholeRound)
+        stepAdvice.askedIn = this->advicePass;
     return true;
 }
 
 // Whether the unit can be placed, or waited for, on the workers that `request.allowed`
 // holds; else the advice service is asked about others.
-bool TaskPlanner::isAdvised(const Unit& unit, const Snapshot& snapshot, PlacementRequest& request, Millis now)
+bool TaskPlanner::resolveAdvice(const Unit& unit, const Snapshot& snapshot, PlacementRequest& request, Millis now)
 {
-    StepAdvice& known = this->advice[stepOf(unit.key)];
+    StepAdvice& stepAdvice = this->adviceByStep[stepOf(unit.key)];
     if (snapshot.findFree(request))
         return true;
-    std::vector<Askable> open = this->askable(known, snapshot, request, now);
-    if (open.empty() && known.underWay.empty() && !snapshot.couldEverFit(request)) {
+    std::vector<Askable> candidates = this->adviceCandidates(stepAdvice, snapshot, request, now);
+    if (candidates.empty() && stepAdvice.underWay.empty() && !snapshot.couldEverFit(request)) {
         request.avoid = nullptr; // Its policy leaves no others.
-        open = this->askable(known, snapshot, request, now);
+        candidates = this->adviceCandidates(stepAdvice, snapshot, request, now);
     }
-    if (!request.rack.empty() && std::none_of(open.begin(), open.end(), [](const Askable& candidate) { return candidate.near; }) && !snapshot.couldEverFit(request))
+    if (!request.rack.empty() && std::none_of(candidates.begin(), candidates.end(), [](const Askable& candidate) { return candidate.near; }) && !snapshot.couldEverFit(request))
         request.rack.clear(); // None of its rack may run it.
     if (snapshot.findFree(request))
         return true;
-    if (open.empty())
-        return known.underWay.empty();
-    std::stable_sort(open.begin(), open.end(), [](const Askable& a, const Askable& b) { return std::pair(a.near, a.free) > std::pair(b.near, b.free); });
-    if (known.underWay.empty() && now >= known.notBefore && this->isAdviceTurn(known)) {
+    if (candidates.empty())
+        return stepAdvice.underWay.empty();
+    std::stable_sort(candidates.begin(), candidates.end(), [](const Askable& a, const Askable& b) { return std::pair(a.near, a.free) > std::pair(b.near, b.free); });
+    if (stepAdvice.underWay.empty() && now >= stepAdvice.notBefore && this->claimAdviceTurn(stepAdvice)) {
         AdviceOrder order { .step = stepOf(unit.key), .terms = unit.job->terms.advice, .workers = {} };
-        for (std::size_t i = 0; i < std::min(open.size(), mostWorkersAdvised); ++i) {
-            order.workers.push_back(open[i].worker->id);
-            known.underWay.push_back(this->workers.at(open[i].worker->id).seen.incarnation);
+        for (std::size_t i = 0; i < std::min(candidates.size(), maxWorkersPerAdviceRequest); ++i) {
+            order.workers.push_back(candidates[i].worker->id);
+            stepAdvice.underWay.push_back(this->workers.at(candidates[i].worker->id).seen.incarnation);
         }
-        ++this->adviceUnderWay;
+        ++this->pendingAdviceRequests;
         this->adviceOrders.push_back(std::move(order));
     }
     return false;
@@ -99,38 +99,38 @@
 
 void TaskPlanner::adviceAnswered(const StepKey& step, const std::vector<AllowedWorker>& allowed, Millis now)
 {
-    --this->adviceUnderWay;
+    --this->pendingAdviceRequests;
     this->pacer.changed();
-    const auto found = this->advice.find(step);
+    const auto found = this->adviceByStep.find(step);
     const auto job = this->jobs.find(step.job);
-    if (found == this->advice.end() || job == this->jobs.end())
+    if (found == this->adviceByStep.end() || job == this->jobs.end())
         return; // The job is over.
-    StepAdvice& known = found->second;
-    for (const Incarnation& incarnation : known.underWay) {
+    StepAdvice& stepAdvice = found->second;
+    for (const Incarnation& incarnation : stepAdvice.underWay) {
         const auto row = std::find_if(allowed.begin(), allowed.end(), [&](const AllowedWorker& worker) { return worker.id == incarnation.id; });
         if (row == allowed.end())
-            known.deny(incarnation);
+            stepAdvice.deny(incarnation);
         else
-            known.allow(incarnation, row->ticket, now + job->second.job->terms.advice.valid);
+            stepAdvice.allow(incarnation, row->ticket, now + job->second.job->terms.advice.valid);
     }
-    known.underWay.clear();
+    stepAdvice.underWay.clear();
 }
 
 void TaskPlanner::adviceFailed(const StepKey& step, Millis now)
 {
-    --this->adviceUnderWay;
-    const auto found = this->advice.find(step);
-    if (found == this->advice.end())
+    --this->pendingAdviceRequests;
+    const auto found = this->adviceByStep.find(step);
+    if (found == this->adviceByStep.end())
         return;
     found->second.underWay.clear();
-    found->second.notBefore = now + advicePause;
+    found->second.notBefore = now + adviceRetryDelay;
 }
 
 void TaskPlanner::forgetAdvice(const std::string& job)
 {
-    auto next = this->advice.lower_bound({ job, 0, 0 });
-    while (next != this->advice.end() && next->first.job == job)
-        next = this->advice.erase(next);
+    auto next = this->adviceByStep.lower_bound({ job, 0, 0 });
+    while (next != this->adviceByStep.end() && next->first.job == job)
+        next = this->adviceByStep.erase(next);
 }
 
 } // namespace rattan::tasks
--- a/src/tasks/task_planner_crashes.cc
+++ b/src/tasks/task_planner_crashes.cc
@@ -24,7 +24,7 @@
 
 // A run of which nothing more will be heard: the log has to tell a crash under a task from
 // an eviction, and what ran beside it.
-void TaskPlanner::runLost(Worker& worker, const RunRef& ref, RunLoss loss, Millis now)
+void TaskPlanner::loseRun(Worker& worker, const RunRef& ref, RunLoss loss, Millis now)
 {
     const RunRef run = ref;
     const auto found = worker.placedRuns.find(run);
@@ -34,7 +34,7 @@
     const std::string confirmed = placedRun.confirmedAt > 0 ? fmt::format("confirmed {} ms ago", now - placedRun.confirmedAt) : "never confirmed";
     this->emit(PlanEventKind::RunLost, placedRun.unit, run.run, worker.seen.incarnation.id, fmt::format("{}, {}, {} runs there", nameOf(loss), confirmed, worker.placedRuns.size()));
     this->countCrash(worker, placedRun, loss);
-    this->memberGone(worker, run, loss == RunLoss::LeaseOver ? std::optional(RunEnd::Lapsed) : std::nullopt, "", now);
+    this->removeMember(worker, run, loss == RunLoss::LeaseOver ? std::optional(RunEnd::Lapsed) : std::nullopt, "", now);
 }
 
 // A run whose stop its worker had taken may have ended by it, unread. A worker that was leaving has left. One whose lease is over may be cut off; only if it is
@@ -63,7 +63,7 @@
     this->markDirty(unit->key.job);
     unit->suspect = unit->suspect || evidence != CrashEvidence::Late;
     if (unit->crashes.isExhausted(unit->run))
-        this->exhausted.insert(unit->key);
+        this->exhaustedUnits.insert(unit->key);
 }
 
 // Of a task that lasts, crashes before it served say nothing of those after.
@@ -76,9 +76,9 @@
     this->pacer.changed();
 }
 
-void TaskPlanner::giveUpExhausted(Millis now)
+void TaskPlanner::failExhaustedJobs(Millis now)
 {
-    for (const UnitKey& key : std::exchange(this->exhausted, {})) {
+    for (const UnitKey& key : std::exchange(this->exhaustedUnits, {})) {
         const Unit* unit = this->find(key);
         if (unit && unit->crashes.isExhausted(unit->run))
             this->finishJob(unit->job->id, JobState::Failed, fmt::format("step {}: {} workers crashed under its tasks", key.step, unit->crashes.size()), now);
@@ -110,7 +110,7 @@
 
 // The workers that suspect tasks of a job have to themselves. One job's are tried together,
 // so that it costs one worker at a time whichever of them is to blame.
-std::set<std::string> TaskPlanner::isolationOf(const std::string& job) const
+std::set<std::string> TaskPlanner::isolatedWorkersOf(const std::string& job) const
 {
     std::set<std::string> ids;
     for (auto next = this->isolatedUnits.lower_bound({ job, 0, 0, wholeGang }); next != this->isolatedUnits.end() && next->job == job; ++next) {
@@ -121,12 +121,12 @@
 }
 
 // A suspect task keeps a worker to itself until it is seen to have survived its start.
-bool TaskPlanner::isCheckDue(const PlacedRun& placedRun, Millis now) const
+bool TaskPlanner::isSurvivalCheckDue(const PlacedRun& placedRun, Millis now) const
 {
     return placedRun.phase == RunPhase::Running && !placedRun.isProven() && now >= placedRun.confirmedAt + provenAfter && this->isolatedUnits.contains(placedRun.unit);
 }
 
-Millis TaskPlanner::nextCheck(Millis now) const
+Millis TaskPlanner::nextSurvivalCheck(Millis now) const
 {
     Millis next = std::numeric_limits<Millis>::max();
     for (const UnitKey& key : this->isolatedUnits) {
--- a/src/tasks/task_planner_evictions.cc
+++ b/src/tasks/task_planner_evictions.cc
@@ -12,7 +12,7 @@
 
 // What would have to be done again, in core-seconds. A run that saves its
 // progress does so when it is stopped, and loses next to nothing.
-double TaskPlanner::lostWork(const Unit& unit, Millis now) const
+double TaskPlanner::lostWorkOf(const Unit& unit, Millis now) const
 {
     constexpr double restartSeconds = 0.3;
     const double weight = weightOf(unit.step().each) * static_cast<double>(unit.members());
@@ -26,30 +26,30 @@
 // always be the cheapest.
 double TaskPlanner::evictionCost(const Unit& unit, Millis now) const
 {
-    const double lost = this->lostWork(unit, now);
+    const double lost = this->lostWorkOf(unit, now);
     return unit.step().savesProgress ? lost : lost * static_cast<double>(1 + unit.evictions);
 }
 
 // Core-seconds of others' work that may be thrown away so that a unit which is
 // not guaranteed begins now.
-double TaskPlanner::worthLosing(const Unit& unit) const
+double TaskPlanner::maxLostWork(const Unit& unit) const
 {
     if (unit.job->terms.priority == 0)
-        return mostLostWork;
-    const double work = weightOf(unit.step().each) * static_cast<double>(unit.members() * this->expectedRun(unit)) / 1000.0;
-    return work * mostLostShare;
+        return maxUrgentLostCoreSeconds;
+    const double work = weightOf(unit.step().each) * static_cast<double>(unit.members() * this->expectedRunTime(unit)) / 1000.0;
+    return work * maxLostWorkFraction;
 }
 
-bool TaskPlanner::mayEvict(const Candidate& candidate, Millis now)
+bool TaskPlanner::canEvict(const Candidate& candidate, Millis now)
 {
     if (candidate.queueKey.useless && !candidate.queueKey.guaranteed)
         return false;
     if (candidate.unit->job->terms.priority == 0)
         return true;
-    const Millis patientUntil = candidate.queueKey.latestStart - evictionLead;
-    if (now >= patientUntil)
+    const Millis evictionAllowedAt = candidate.queueKey.latestStart - evictionLeadTime;
+    if (now >= evictionAllowedAt)
         return true;
-    this->pacer.dueBy(patientUntil);
+    this->pacer.dueBy(evictionAllowedAt);
     return false;
 }
 
@@ -58,17 +58,17 @@
     Unit& unit = *candidate.unit;
     const bool guaranteed = candidate.queueKey.guaranteed;
     const std::int64_t priority = unit.job->terms.priority;
-    const auto lost = [&](const Allocation& run) { return run.guaranteed || (!guaranteed && run.priority <= priority) ? -1.0 : run.lostWork; };
+    const auto evictionCostOf = [&](const Allocation& run) { return run.guaranteed || (!guaranteed && run.priority <= priority) ? -1.0 : run.lostWork; };
     constexpr double noBound = std::numeric_limits<double>::max();
-    const double bound = guaranteed ? noBound : this->worthLosing(unit);
-    const auto plan = planEviction(snapshot, request, lost, noBound);
+    const double bound = guaranteed ? noBound : this->maxLostWork(unit);
+    const auto plan = planEviction(snapshot, request, evictionCostOf, noBound);
     if (!plan || plan->lostWork > bound) {
-        this->tellRefusal(unit, plan ? EvictionRefusal::TooMuchLost : EvictionRefusal::NoRoom, plan ? plan->lostWork : 0, bound);
+        this->reportEvictionRefusal(unit, plan ? EvictionRefusal::TooMuchLost : EvictionRefusal::NoRoom, plan ? plan->lostWork : 0, bound);
         return false;
     }
     for (const UnitKey& victim : plan->victims) {
         Unit& stopped = this->units.at(victim);
-        this->emit(PlanEventKind::UnitEvicted, victim, stopped.run, "", fmt::format("for {}, {:.0f} core-seconds lost", unit.key.job, this->lostWork(stopped, now)));
+        this->emit(PlanEventKind::UnitEvicted, victim, stopped.run, "", fmt::format("for {}, {:.0f} core-seconds lost", unit.key.job, this->lostWorkOf(stopped, now)));
         ++stopped.evictions;
         snapshot.markEnding(victim, stopped.workers);
         this->stopUnit(stopped, now);
@@ -78,13 +78,13 @@
 }
 
 // An urgent unit that waits is the first thing asked about afterwards.
-void TaskPlanner::tellRefusal(Unit& unit, EvictionRefusal refusal, double cost, double bound)
+void TaskPlanner::reportEvictionRefusal(Unit& unit, EvictionRefusal refusal, double cost, double bound)
 {
     if (unit.refusal == refusal)
         return;
     unit.refusal = refusal;
-    std::string why = refusal == EvictionRefusal::NoRoom ? "no runs that it may stop make room" : fmt::format("the cheapest choice loses {:.0f} core-seconds, {:.0f} are allowed", cost, bound);
-    this->emit(PlanEventKind::UnitWaits, unit.key, unit.run, "", std::move(why));
+    std::string reason = refusal == EvictionRefusal::NoRoom ? "no runs that it may stop make room" : fmt::format("the cheapest choice loses {:.0f} core-seconds, {:.0f} are allowed", cost, bound);
+    this->emit(PlanEventKind::UnitWaits, unit.key, unit.run, "", std::move(reason));
 }
 
 } // namespace rattan::tasks
--- a/src/tasks/task_planner_incarnations.cc
+++ b/src/tasks/task_planner_incarnations.cc
@@ -11,14 +11,14 @@
 using namespace detail;
 
 // After a restart a worker runs nothing and knows nothing of before.
-void TaskPlanner::loseIncarnation(Worker& worker, Millis now, const char* why)
+void TaskPlanner::loseIncarnation(Worker& worker, Millis now, const char* reason)
 {
-    this->emit(PlanEventKind::WorkerGone, {}, 0, worker.seen.incarnation.id, why);
+    this->emit(PlanEventKind::WorkerGone, {}, 0, worker.seen.incarnation.id, reason);
     std::vector<RunRef> lost;
     for (const auto& [run, placedRun] : worker.placedRuns)
         lost.push_back(run);
     for (const RunRef& run : lost)
-        this->runLost(worker, run, RunLoss::WorkerEnded, now);
+        this->loseRun(worker, run, RunLoss::WorkerEnded, now);
     const WorkerSighting seen = worker.seen;
     worker = Worker {};
     worker.seen = seen;
@@ -28,20 +28,20 @@
 
 // The worker has started again and knows nothing of before. Runs that it lists
 // are of its present incarnation; a start without an answer may still arrive there.
-void TaskPlanner::changeIncarnation(Worker& worker, const WorkerReport& report, Millis sentAt, bool quick, Millis now)
+void TaskPlanner::changeIncarnation(Worker& worker, const WorkerReport& report, Millis sentAt, bool concurrent, Millis now)
 {
     this->emit(PlanEventKind::WorkerGone, {}, 0, worker.seen.incarnation.id, "a later incarnation answers");
-    const Incarnation before = worker.seen.incarnation;
+    const Incarnation earlier = worker.seen.incarnation;
     worker.seen.incarnation.born = report.born;
     // Another poll showed it, so the one that acknowledges ends may still be on its way.
-    if (quick && worker.pollUnderWay && worker.ackUnderWay > 0)
+    if (concurrent && worker.pollUnderWay && worker.ackUnderWay > 0)
         worker.ackLostAt = now;
     if (worker.ackLostAt > 0)
-        worker.takesNothingUntil = worker.ackLostAt + longestLateCall;
+        worker.takesNothingUntil = worker.ackLostAt + maxCallDelay;
     worker.handled = worker.durable = worker.acknowledged = worker.ackUnderWay = 0;
     worker.ackDueBy = 0;
     worker.trust = {};
-    this->endsInBatch.erase(before);
+    this->endsInBatch.erase(earlier);
     std::set<RunRef> listed;
     for (const RunningTask& running : report.running)
         listed.insert(running.run);
@@ -51,10 +51,10 @@
     std::vector<PlacedRun> unconfirmed;
     for (auto& [run, placedRun] : worker.placedRuns) {
         // One that was confirmed after the poll was sent may be of this incarnation.
-        const bool mayBeHere = placedRun.phase == RunPhase::Running && placedRun.confirmedAt >= sentAt;
-        if (placedRun.phase == RunPhase::Recording || listed.contains(run) || mayBeHere)
+        const bool couldBePresent = placedRun.phase == RunPhase::Running && placedRun.confirmedAt >= sentAt;
+        if (placedRun.phase == RunPhase::Recording || listed.contains(run) || couldBePresent)
             continue;
-        if (placedRun.phase == RunPhase::Running && !mayStartLate(worker, run, now)) {
+        if (placedRun.phase == RunPhase::Running && !canStartLate(worker, run, now)) {
             lost.push_back(run);
         } else {
             placedRun.phase = RunPhase::Starting;
@@ -69,13 +69,13 @@
     for (const PlacedRun& placedRun : unconfirmed)
         this->countCrash(worker, placedRun, RunLoss::WorkerRestarted);
     for (const RunRef& run : lost)
-        this->runLost(worker, run, RunLoss::WorkerRestarted, now);
+        this->loseRun(worker, run, RunLoss::WorkerRestarted, now);
     for (auto& [run, placedRun] : worker.placedRuns) {
         Unit* unit = placedRun.stray ? nullptr : this->find(placedRun.unit);
         if (!unit)
             continue;
         for (Incarnation& incarnation : unit->workers) {
-            if (incarnation == before)
+            if (incarnation == earlier)
                 incarnation = worker.seen.incarnation;
         }
     }
@@ -84,21 +84,21 @@
 void TaskPlanner::rememberLostStart(Worker& worker, PlacedRun& placedRun, Millis now)
 {
     placedRun.startLost = true;
-    std::erase_if(worker.lostStarts, [now](const auto& row) { return now >= row.second + longestLateCall; });
+    std::erase_if(worker.lostStarts, [now](const auto& row) { return now >= row.second + maxCallDelay; });
     worker.lostStarts[placedRun.run] = now;
 }
 
-bool TaskPlanner::mayStartLate(const Worker& worker, const RunRef& run, Millis now)
+bool TaskPlanner::canStartLate(const Worker& worker, const RunRef& run, Millis now)
 {
     const auto found = worker.lostStarts.find(run);
-    return found != worker.lostStarts.end() && now < found->second + longestLateCall;
+    return found != worker.lostStarts.end() && now < found->second + maxCallDelay;
 }
 
 // Calls that got no answer, which a later incarnation would take for its own.
-bool TaskPlanner::mayHaveLateCalls(const Worker& worker, Millis now)
+bool TaskPlanner::canReceiveLateCalls(const Worker& worker, Millis now)
 {
-    const bool ackMayCome = worker.ackLostAt > 0 && now < worker.ackLostAt + longestLateCall;
-    return ackMayCome || std::any_of(worker.lostStarts.begin(), worker.lostStarts.end(), [now](const auto& row) { return now < row.second + longestLateCall; });
+    const bool canReceiveLateAck = worker.ackLostAt > 0 && now < worker.ackLostAt + maxCallDelay;
+    return canReceiveLateAck || std::any_of(worker.lostStarts.begin(), worker.lostStarts.end(), [now](const auto& row) { return now < row.second + maxCallDelay; });
 }
 
 // A later incarnation knows of no run that ended before. Of one whose start had no answer it
@@ -106,15 +106,15 @@
 void TaskPlanner::stopLateStarts(Worker& worker, Millis now)
 {
     for (const auto& [run, lostAt] : worker.lostStarts) {
-        if (!mayStartLate(worker, run, now) || worker.placedRuns.contains(run))
+        if (!canStartLate(worker, run, now) || worker.placedRuns.contains(run))
             continue;
-        PlacedRun late { .run = run, .unit = this->unitOf(run.task) };
-        late.stray = true;
-        late.phase = RunPhase::Starting;
-        late.room = this->roomOf(run.task);
-        late.wantStop(now);
-        worker.used += late.room;
-        worker.placedRuns.emplace(run, late);
+        PlacedRun lateStart { .run = run, .unit = this->unitOf(run.task) };
+        lateStart.stray = true;
+        lateStart.phase = RunPhase::Starting;
+        lateStart.room = this->roomOf(run.task);
+        lateStart.wantStop(now);
+        worker.used += lateStart.room;
+        worker.placedRuns.emplace(run, lateStart);
     }
 }
 
--- a/src/tasks/task_planner_orders.cc
+++ b/src/tasks/task_planner_orders.cc
@@ -24,8 +24,8 @@
     // Occurrences that ended before earlier ones have no state left but their units.
     for (const std::int64_t number : active.doneOutOfOrder) {
         for (std::size_t step = 0; step < active.job->steps.size(); ++step) {
-            const Step& spec = active.job->steps[step];
-            for (std::int64_t index = spec.gang ? wholeGang : 0; index < (spec.gang ? 0 : spec.count); ++index)
+            const Step& stepSpec = active.job->steps[step];
+            for (std::int64_t index = stepSpec.gang ? wholeGang : 0; index < (stepSpec.gang ? 0 : stepSpec.count); ++index)
                 progress.units.push_back({ .occurrence = number, .step = static_cast<std::int64_t>(step), .index = index, .state = UnitState::Done });
         }
     }
@@ -33,16 +33,16 @@
         const Unit& unit = next->second;
         if (unit.run == 0)
             continue;
-        UnitProgress row { .occurrence = unit.key.occurrence, .step = unit.key.step, .index = unit.key.index, .run = unit.run };
-        row.failedRuns.assign(unit.failedRuns.begin(), unit.failedRuns.end());
-        row.state = unit.state;
-        row.checkpoint = unit.checkpoint;
-        row.workers = unit.workers;
-        row.crashes = unit.crashes.all();
-        row.suspect = unit.suspect;
-        if (!row.crashes.empty())
-            row.begun = this->begunMembers(unit);
-        progress.units.push_back(std::move(row));
+        UnitProgress unitProgress { .occurrence = unit.key.occurrence, .step = unit.key.step, .index = unit.key.index, .run = unit.run };
+        unitProgress.failedRuns.assign(unit.failedRuns.begin(), unit.failedRuns.end());
+        unitProgress.state = unit.state;
+        unitProgress.checkpoint = unit.checkpoint;
+        unitProgress.workers = unit.workers;
+        unitProgress.crashes = unit.crashes.all();
+        unitProgress.suspect = unit.suspect;
+        if (!unitProgress.crashes.empty())
+            unitProgress.begun = this->begunMembers(unit);
+        progress.units.push_back(std::move(unitProgress));
     }
     return progress;
 }
@@ -50,38 +50,38 @@
 // Starts and final states are waited for and recorded at once. An end that only
 // brings a job further is not; a few of them share a record, which every
 // instance has to read.
-bool TaskPlanner::recordDue(Millis now)
+bool TaskPlanner::isRecordDue(Millis now)
 {
-    if (!this->toForget.empty())
+    if (!this->jobsToForget.empty())
         return true;
-    if (this->dirty.empty())
+    if (this->dirtyJobs.empty())
         return true;
     if (!this->startsToRecord.empty())
-        this->recordBy = 0;
-    if (this->recordBy == noRecord)
-        this->recordBy = now + longestRecordDelay;
-    return now >= this->recordBy;
+        this->recordDueAt = 0;
+    if (this->recordDueAt == noRecord)
+        this->recordDueAt = now + maxRecordDelay;
+    return now >= this->recordDueAt;
 }
 
-void TaskPlanner::forget(const std::vector<std::string>& ids)
+void TaskPlanner::forgetJobs(const std::vector<std::string>& ids)
 {
     for (const std::string& id : ids) {
         if (!this->jobs.contains(id))
-            this->toForget.push_back(id);
+            this->jobsToForget.push_back(id);
     }
 }
 
 void TaskPlanner::makeBatch(Millis now, Orders& orders)
 {
-    if (this->batchUnderWay)
+    if (this->isBatchPending)
         return;
     for (const auto& [id, worker] : this->workers) {
         if (worker.handled > worker.durable)
             this->endsInBatch[worker.seen.incarnation] = worker.handled;
     }
-    if (!this->recordDue(now))
+    if (!this->isRecordDue(now))
         return;
-    if (this->dirty.empty() && this->toForget.empty()) {
+    if (this->dirtyJobs.empty() && this->jobsToForget.empty()) {
         // Ends that changed nothing are as durable as they will ever be.
         for (const auto& [incarnation, number] : this->endsInBatch) {
             if (Worker* worker = this->find(incarnation); worker && worker->seen.incarnation == incarnation)
@@ -92,19 +92,19 @@
     }
     RecordBatch batch;
     batch.number = ++this->batchNumber;
-    for (const std::string& id : this->dirty)
+    for (const std::string& id : this->dirtyJobs)
         this->recordJob(id, batch);
-    if (now >= this->learnedAt + learnedEvery) {
-        this->learnedAt = now;
-        batch.plans.emplace_back(keyText({ RecordKind::Learned, "" }), encodeLearned(this->runTimes, this->speeds));
+    if (now >= this->lastLearnedRecordAt + learnedRecordInterval) {
+        this->lastLearnedRecordAt = now;
+        batch.plans.emplace_back(keyText({ RecordKind::Learned, "" }), encodeLearned(this->runTimes, this->workerSpeeds));
     }
-    this->recordForgotten(batch);
-    this->dirty.clear();
-    this->recordBy = noRecord;
+    this->recordDeletions(batch);
+    this->dirtyJobs.clear();
+    this->recordDueAt = noRecord;
     this->startsInBatch = std::move(this->startsToRecord);
     this->startsToRecord.clear();
-    this->batchUnderWay = true;
-    this->batchMadeAt = now;
+    this->isBatchPending = true;
+    this->batchCreatedAt = now;
     orders.batches.push_back(std::move(batch));
 }
 
@@ -120,10 +120,10 @@
     active.recordedState = active.state;
     if (!isFinal(active.state))
         return;
-    if (this->finished.size() >= mostFinished)
-        this->finished.clear();
-    this->finished.insert(id);
-    this->endedInBatch.push_back(id);
+    if (this->finishedJobs.size() >= maxFinishedJobs)
+        this->finishedJobs.clear();
+    this->finishedJobs.insert(id);
+    this->jobsEndedInBatch.push_back(id);
     this->forgetAdvice(id);
     this->jobs.erase(found);
 }
@@ -131,16 +131,16 @@
 // A plan goes only once the end of its job is recorded where every instance reads it:
 // without either the job would begin again. Of what is forgotten the job's own record goes
 // last: it alone tells that there was a job.
-void TaskPlanner::recordForgotten(RecordBatch& batch)
+void TaskPlanner::recordDeletions(RecordBatch& batch)
 {
-    for (const std::string& id : this->plansOver)
+    for (const std::string& id : this->obsoletePlans)
         batch.plans.emplace_back(keyText({ RecordKind::Progress, id }), "");
-    this->plansOver.clear();
-    for (const std::string& id : this->toForget) {
+    this->obsoletePlans.clear();
+    for (const std::string& id : this->jobsToForget) {
         for (const RecordKind kind : { RecordKind::Cancel, RecordKind::State, RecordKind::Job })
             batch.jobs.emplace_back(keyText({ kind, id }), "");
     }
-    this->toForget.clear();
+    this->jobsToForget.clear();
 }
 
 // The capacity may have shrunk since the run was placed: a record can take seconds.
@@ -149,22 +149,22 @@
     return worker.used.within(worker.seen.capacity);
 }
 
-void TaskPlanner::recorded(std::int64_t batch, Millis now)
+void TaskPlanner::batchRecorded(std::int64_t batch, Millis now)
 {
-    if (!this->batchUnderWay || batch != this->batchNumber)
+    if (!this->isBatchPending || batch != this->batchNumber)
         return;
-    this->batchUnderWay = false;
+    this->isBatchPending = false;
     for (const auto& [incarnation, number] : this->endsInBatch) {
         Worker* worker = this->find(incarnation);
         if (!worker || worker->seen.incarnation != incarnation)
             continue; // A later incarnation counts its ends anew.
         worker->durable = number;
         if (worker->ackDueBy == 0)
-            worker->ackDueBy = now + longestAckDelay;
+            worker->ackDueBy = now + maxAckDelay;
     }
     this->endsInBatch.clear();
-    this->plansOver.insert(this->plansOver.end(), this->endedInBatch.begin(), this->endedInBatch.end());
-    this->endedInBatch.clear();
+    this->obsoletePlans.insert(this->obsoletePlans.end(), this->jobsEndedInBatch.begin(), this->jobsEndedInBatch.end());
+    this->jobsEndedInBatch.clear();
     for (const auto& [id, run] : this->startsInBatch) {
         const auto worker = this->workers.find(id);
         if (worker == this->workers.end())
@@ -176,7 +176,7 @@
         if (!unit)
             continue;
         if (!isWithinCapacity(worker->second)) {
-            this->memberGone(worker->second, run, std::nullopt, "", now);
+            this->removeMember(worker->second, run, std::nullopt, "", now);
             continue;
         }
         placedRun->second.phase = RunPhase::Starting;
@@ -212,13 +212,13 @@
             if (now < placedRun.nextStopAt || isStoppedBeforeStart(worker, placedRun))
                 continue;
             placedRun.stopUnderWay = true;
-            placedRun.nextStopAt = now + stopRetry + this->options.stopTimeout;
+            placedRun.nextStopAt = now + stopRetryInterval + this->options.stopTimeout;
             orders.stops.push_back({ worker.seen.incarnation, worker.seen.address, run });
         }
     }
 }
 
-Orders TaskPlanner::take(Millis now)
+Orders TaskPlanner::takeOrders(Millis now)
 {
     Orders orders;
     this->makeBatch(now, orders);
@@ -228,7 +228,7 @@
     this->adviceOrders.clear();
     this->makeStops(now, orders);
     this->makePolls(now, orders);
-    this->reportRoutine();
+    this->reportRoutineCounts();
     orders.events = std::move(this->events);
     this->events.clear();
     this->eventCounts.clear();
--- a/src/tasks/task_planner_polls.cc
+++ b/src/tasks/task_planner_polls.cc
@@ -33,23 +33,23 @@
 
 bool TaskPlanner::isLeaseHalfOver(const Worker& worker, Millis now) const
 {
-    return worker.known && worker.isLive() && now + this->options.longestLease / 2 >= worker.leaseOverBy;
+    return worker.known && worker.isLive() && now + this->options.maxLease / 2 >= worker.leaseOverBy;
 }
 
 // A start whose stop has been answered is settled by the next poll. One that waits
 // for an end would hold up its task, so another goes beside it.
-bool TaskPlanner::isBesideDue(const Worker& worker, Millis now) const
+bool TaskPlanner::isConcurrentPollDue(const Worker& worker, Millis now) const
 {
     if (worker.quickPollUnderWay)
         return false;
-    if (worker.known && !worker.silent && this->isDoubted(worker, now))
+    if (worker.known && !worker.silent && this->isInDoubtedDomain(worker, now))
         return true;
     if (!worker.pollUnderWay)
         return false;
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) {
         const PlacedRun& placedRun = row.second;
         const bool awaitsSettling = placedRun.phase == RunPhase::Starting && placedRun.stopAnsweredAt > 0 && placedRun.stopAnsweredAt >= worker.pollSentAt;
-        return awaitsSettling || (!worker.silent && this->isCheckDue(placedRun, now));
+        return awaitsSettling || (!worker.silent && this->isSurvivalCheckDue(placedRun, now));
     });
 }
 
@@ -62,23 +62,23 @@
     if (calm && !worker.isLive() && !ackDue)
         return false;
     // An end that is not durable yet would come back at once.
-    return !calm || worker.handled <= worker.durable || now + this->options.longestLease / 2 >= worker.leaseOverBy;
+    return !calm || worker.handled <= worker.durable || now + this->options.maxLease / 2 >= worker.leaseOverBy;
 }
 
 // A lease that is over already is not renewed: the poll only asks what has become of the runs.
-void TaskPlanner::poll(Worker& worker, Millis now, Orders& orders) const
+void TaskPlanner::addPoll(Worker& worker, Millis now, Orders& orders) const
 {
-    const bool renews = worker.known && !worker.silent && worker.isLive() && now < worker.leaseOverBy;
+    const bool renewsLease = worker.known && !worker.silent && worker.isLive() && now < worker.leaseOverBy;
     worker.pollUnderWay = true;
     worker.pollSentAt = now;
     worker.ackUnderWay = worker.isIncarnationProven() ? worker.durable : 0;
     worker.ackDueBy = 0;
-    if (renews)
+    if (renewsLease)
         this->grantLease(worker, now);
-    orders.polls.push_back({ worker.seen.incarnation, worker.seen.address, worker.ackUnderWay, renews ? pollWait : 0, renews });
+    orders.polls.push_back({ worker.seen.incarnation, worker.seen.address, worker.ackUnderWay, renewsLease ? longPollWait : 0, renewsLease });
 }
 
-void TaskPlanner::pollBeside(Worker& worker, Orders& orders)
+void TaskPlanner::addConcurrentPoll(Worker& worker, Orders& orders)
 {
     worker.quickPollUnderWay = true;
     orders.polls.push_back({ worker.seen.incarnation, worker.seen.address, 0, 0, false, true });
@@ -87,52 +87,52 @@
 void TaskPlanner::makePolls(Millis now, Orders& orders)
 {
     this->duePolls.clear();
-    const bool idleWanted = !this->waitingUnits.empty();
-    const bool idleMayGo = idleWanted || now >= this->idlePollsFrom;
+    const bool hasWaitingUnits = !this->waitingUnits.empty();
+    const bool canPollIdle = hasWaitingUnits || now >= this->nextIdlePollsAt;
     std::size_t idle = 0;
     for (const auto& [id, worker] : this->workers) {
         if (worker.seen.address.empty() || (!worker.listed && worker.placedRuns.empty()))
             continue; // Of one known only from a record, the list has to tell where it is.
-        if (this->isBesideDue(worker, now))
+        if (this->isConcurrentPollDue(worker, now))
             this->duePolls.push_back({ this->isEndExpected(worker) ? now - endExpectedLead : now, id, true });
         if (!this->isPollDue(worker, now))
             continue;
-        Millis turn = worker.nextPollAt;
+        Millis sortTime = worker.nextPollAt;
         if (worker.placedRuns.empty()) {
-            if (!idleMayGo || (!idleWanted && idle == mostIdlePollsAtOnce))
+            if (!canPollIdle || (!hasWaitingUnits && idle == maxIdlePollsPerTurn))
                 continue;
             ++idle;
-            turn += idleDelay;
+            sortTime += idleDelay;
         } else if (this->isLeaseHalfOver(worker, now)) {
-            turn = firstTurn;
+            sortTime = firstTurn;
         } else if (isEndExpected(worker)) {
-            turn -= endExpectedLead;
+            sortTime -= endExpectedLead;
         }
-        this->duePolls.push_back({ turn, id, false });
+        this->duePolls.push_back({ sortTime, id, false });
     }
     if (idle > 0)
-        this->idlePollsFrom = now + idlePollsPause;
-    std::sort(this->duePolls.begin(), this->duePolls.end(), [](const DuePoll& a, const DuePoll& b) { return std::tie(b.turn, b.worker) < std::tie(a.turn, a.worker); });
+        this->nextIdlePollsAt = now + idlePollInterval;
+    std::sort(this->duePolls.begin(), this->duePolls.end(), [](const DuePoll& a, const DuePoll& b) { return std::tie(b.sortTime, b.worker) < std::tie(a.sortTime, a.worker); });
     this->sendDuePolls(now, orders);
 }
 
 void TaskPlanner::sendDuePolls(Millis now, Orders& orders)
 {
-    while (!this->duePolls.empty() && orders.polls.size() < mostPollsAtOnce) {
+    while (!this->duePolls.empty() && orders.polls.size() < maxPollsPerTurn) {
         const DuePoll due = std::move(this->duePolls.back());
         this->duePolls.pop_back();
         const auto found = this->workers.find(due.worker);
         if (found == this->workers.end())
             continue;
         Worker& worker = found->second;
-        if (due.beside && this->isBesideDue(worker, now))
-            pollBeside(worker, orders);
-        else if (!due.beside && this->isPollDue(worker, now))
-            this->poll(worker, now, orders);
+        if (due.concurrent && this->isConcurrentPollDue(worker, now))
+            addConcurrentPoll(worker, orders);
+        else if (!due.concurrent && this->isPollDue(worker, now))
+            this->addPoll(worker, now, orders);
     }
 }
 
-Orders TaskPlanner::takePolls(Millis now)
+Orders TaskPlanner::takeDuePolls(Millis now)
 {
     Orders orders;
     this->sendDuePolls(now, orders);
--- a/src/tasks/task_planner_reports.cc
+++ b/src/tasks/task_planner_reports.cc
@@ -15,7 +15,7 @@
 
 void TaskPlanner::emit(PlanEventKind kind, const UnitKey& key, std::int64_t run, std::string worker, std::string detail)
 {
-    if (++this->eventCounts[kind] <= mostPlanEvents)
+    if (++this->eventCounts[kind] <= maxEventsPerKind)
         this->events.push_back({ kind, key.job, fmt::format("{}.{}.{}", key.occurrence, key.step, key.index), run, std::move(worker), std::move(detail) });
 }
 
@@ -23,7 +23,7 @@
 {
     const std::int64_t priority = unit.job->terms.priority;
     if (unit.key.index != wholeGang && unit.run == 1 && priority > 0) {
-        ++this->tasksPlaced[{ unit.key.job, unit.key.occurrence, unit.key.step }];
+        ++this->placedTaskCounts[{ unit.key.job, unit.key.occurrence, unit.key.step }];
         return;
     }
     const bool guaranteed = this->jobs.at(unit.key.job).guaranteed;
@@ -31,30 +31,30 @@
         fmt::format("waited {} ms, {} members, priority {}{}, declared {} ms", now - unit.waitingSince, unit.workers.size(), priority, guaranteed ? ", guaranteed" : "", unit.step().estimate));
 }
 
-void TaskPlanner::reportRoutine()
+void TaskPlanner::reportRoutineCounts()
 {
-    for (const auto& [step, count] : std::exchange(this->tasksPlaced, {}))
+    for (const auto& [step, count] : std::exchange(this->placedTaskCounts, {}))
         this->emit(PlanEventKind::TasksPlaced, { step.job, step.occurrence, step.step, 0 }, 1, "", fmt::format("{} tasks", count));
-    if (const std::int64_t count = std::exchange(this->unitsDone, 0); count > 0)
+    if (const std::int64_t count = std::exchange(this->completedUnitCount, 0); count > 0)
         this->emit(PlanEventKind::UnitsDone, {}, 0, "", fmt::format("{} units", count));
 }
 
-void TaskPlanner::reportWait(Candidate& candidate, const Snapshot& snapshot, const PlacementRequest& request, Millis now)
+void TaskPlanner::reportGuaranteeWait(Candidate& candidate, const Snapshot& snapshot, const PlacementRequest& request, Millis now)
 {
     Unit& unit = *candidate.unit;
-    if (!candidate.queueKey.guaranteed || now - std::max(unit.waitingSince, unit.waitReportedAt) < guaranteeWaitReported)
+    if (!candidate.queueKey.guaranteed || now - std::max(unit.waitingSince, unit.waitReportedAt) < guaranteeWaitReportInterval)
         return;
     unit.waitReportedAt = now;
     const Snapshot::Offered offered = snapshot.offered(request);
     this->emit(PlanEventKind::GuaranteeWaits, unit.key, unit.run, "",
         fmt::format("for {} ms, {} members of {} accelerators, room for {} now and {} after stops, {} workers of {} take work, {}", now - unit.waitingSince, request.members,
-            request.each.accelerators, offered.now, offered.afterStops, snapshot.workers.size(), this->workers.size(), this->stopsUnderWay(now)));
+            request.each.accelerators, offered.now, offered.afterStops, snapshot.workers.size(), this->workers.size(), this->pendingStopsText(now)));
 }
 
 // Of all units that wait, since one that no round considers has to be found as well.
 void TaskPlanner::reportOldestWait(const std::vector<Candidate>& candidates, const std::map<std::string, Snapshot>& snapshots, Millis now)
 {
-    if (now - this->waitsReportedAt < waitsReportedEvery)
+    if (now - this->lastWaitReportAt < waitReportInterval)
         return;
     const Unit* oldest = nullptr;
     for (const UnitKey& key : this->waitingUnits) {
@@ -62,51 +62,51 @@
         if (!oldest || unit.waitingSince < oldest->waitingSince)
             oldest = &unit;
     }
-    if (!oldest || now - oldest->waitingSince < longWait)
+    if (!oldest || now - oldest->waitingSince < minReportedWait)
         return;
-    this->waitsReportedAt = now;
+    this->lastWaitReportAt = now;
     const std::string& service = oldest->job->terms.service;
     std::string room = "no picture of its service";
     if (const auto snapshot = snapshots.find(service); snapshot != snapshots.end()) {
         const Snapshot::Offered offered = snapshot->second.offered(this->requestOf(*oldest));
         room = fmt::format("room for {} of {} members, {} unreserved, {} now", offered.free, oldest->members(), offered.unreserved, offered.now);
     }
-    const Millis recording = this->batchUnderWay ? now - this->batchMadeAt : 0;
+    const Millis recording = this->isBatchPending ? now - this->batchCreatedAt : 0;
     this->emit(PlanEventKind::WorkWaits, oldest->key, oldest->run, "",
         fmt::format("for {} ms, {}; {}; {} units wait, {} of them in this round; workers: {}; {}; {}; record under way for {} ms", now - oldest->waitingSince, detail::nameOf(oldest->waitReason), room,
-            this->waitingUnits.size(), candidates.size(), this->attendanceOf(service, now), this->pollsOverdue(now), this->stopsUnderWay(now), recording));
+            this->waitingUnits.size(), candidates.size(), this->availabilityText(service, now), this->overduePollsText(now), this->pendingStopsText(now), recording));
 }
 
-std::string TaskPlanner::attendanceOf(const std::string& service, Millis now) const
+std::string TaskPlanner::availabilityText(const std::string& service, Millis now) const
 {
-    Attendance attendance;
+    AvailabilityCounts workerCounts;
     for (const auto& [id, worker] : this->workers) {
         if (worker.seen.service == service)
-            attendance.add(this->absenceOf(worker, now));
+            workerCounts.add(this->availabilityOf(worker, now));
     }
-    return textOf(attendance);
+    return textOf(workerCounts);
 }
 
 // Ends at these workers are not read, and their room is not seen.
-std::string TaskPlanner::pollsOverdue(Millis now) const
+std::string TaskPlanner::overduePollsText(Millis now) const
 {
     std::int64_t overdue = 0;
-    Millis longest = 0;
-    std::int64_t unread = 0;
+    Millis maxWaited = 0;
+    std::int64_t unrecorded = 0;
     for (const auto& [id, worker] : this->workers) {
-        unread += worker.handled > worker.durable ? 1 : 0;
+        unrecorded += worker.handled > worker.durable ? 1 : 0;
         // An idle worker is not polled, so what was due before its start does not count.
-        const Millis waited = now - std::max({ worker.nextPollAt, worker.lastStartAt, this->begunAt });
-        if (worker.pollUnderWay || !worker.isLive() || waited < pollOverdue)
+        const Millis waited = now - std::max({ worker.nextPollAt, worker.lastStartAt, this->termStartedAt });
+        if (worker.pollUnderWay || !worker.isLive() || waited < overduePollThreshold)
             continue;
         ++overdue;
-        longest = std::max(longest, waited);
+        maxWaited = std::max(maxWaited, waited);
     }
-    return fmt::format("{} polls overdue, the longest for {} ms, {} workers with ends not recorded", overdue, longest, unread);
+    return fmt::format("{} polls overdue, the longest for {} ms, {} workers with ends not recorded", overdue, maxWaited, unrecorded);
 }
 
 // How many there are, and which has taken longest: either its stop or its end is late.
-std::string TaskPlanner::stopsUnderWay(Millis now) const
+std::string TaskPlanner::pendingStopsText(Millis now) const
 {
     std::int64_t count = 0;
     const PlacedRun* oldest = nullptr;
--- a/src/tasks/task_planner_rounds.cc
+++ b/src/tasks/task_planner_rounds.cc
@@ -28,37 +28,37 @@
 
 void TaskPlanner::step(Millis now, Millis wall)
 {
-    this->expire(now);
-    this->giveUpExhausted(now);
+    this->expireLeases(now);
+    this->failExhaustedJobs(now);
     for (auto& [id, active] : this->jobs) {
         if (!isFinal(active.state))
-            this->beginDue(active, now, wall);
+            this->beginDueOccurrences(active, now, wall);
     }
-    const RoundKind kind = this->pacer.next(now, !this->urgentUnits.empty());
+    const RoundKind kind = this->pacer.next(now, !this->urgentWaitingUnits.empty());
     this->round = { .kind = kind };
     if (kind == RoundKind::None)
         return;
     this->pacer.begun(kind, now);
-    this->noticeStalls(now);
-    this->clearLeaving(now);
-    this->markGuaranteed();
-    this->decide(now, wall);
+    this->stopStalledUnits(now);
+    this->evacuateLeavingWorkers(now);
+    this->markGuaranteedJobs();
+    this->runRound(now, wall);
 }
 
 Millis TaskPlanner::nextWake(Millis now, Millis wall) const
 {
-    if (this->hasPollsLeft())
+    if (this->hasDuePolls())
         return now;
-    Millis next = this->pacer.nextWake(now, !this->urgentUnits.empty());
-    if (!this->batchUnderWay)
-        next = std::min(next, this->recordBy);
+    Millis next = this->pacer.nextWake(now, !this->urgentWaitingUnits.empty());
+    if (!this->isBatchPending)
+        next = std::min(next, this->recordDueAt);
     for (const auto& [id, active] : this->jobs) {
         if (!isFinal(active.state) && active.nextOccurrence < active.job->occurrences())
             next = std::min(next, now + std::max<Millis>(active.job->dueAt(active.nextOccurrence) - wall, 0));
     }
-    next = std::min(next, this->nextCheck(now));
-    if (this->idlePollsFrom > now)
-        next = std::min(next, this->idlePollsFrom);
+    next = std::min(next, this->nextSurvivalCheck(now));
+    if (this->nextIdlePollsAt > now)
+        next = std::min(next, this->nextIdlePollsAt);
     for (const auto& [id, worker] : this->workers) {
         if (!worker.pollUnderWay && worker.nextPollAt > now)
             next = std::min(next, worker.nextPollAt);
@@ -68,61 +68,61 @@
     return std::max(next, now);
 }
 
-Millis TaskPlanner::expectedRun(const Unit& unit) const
+Millis TaskPlanner::expectedRunTime(const Unit& unit) const
 {
-    const Millis whole = this->runTimes.expect(unit.job->terms.queue, unit.step().estimate).work;
-    return std::max<Millis>(static_cast<Millis>(static_cast<double>(whole) * (1 - unit.saved)), 1);
+    const Millis expectedWork = this->runTimes.expect(unit.job->terms.queue, unit.step().estimate).work;
+    return std::max<Millis>(static_cast<Millis>(static_cast<double>(expectedWork) * (1 - unit.saved)), 1);
 }
 
 Millis TaskPlanner::expectedEnd(const Unit& unit, Millis now) const
 {
     if (unit.step().longRunning)
-        return now + lasts; // One that serves tells all of its work as done.
+        return now + longRunningTime; // One that serves tells all of its work as done.
     if (unit.startedAt == 0)
-        return now + this->expectedRun(unit);
+        return now + this->expectedRunTime(unit);
     const double done = unit.progress - unit.progressAtStart;
-    constexpr double enoughToTell = 0.1;
-    if (done < enoughToTell || unit.heardAt <= unit.startedAt)
-        return std::max(now, unit.startedAt + this->expectedRun(unit));
-    const double perMilli = done / static_cast<double>(unit.heardAt - unit.startedAt);
-    return std::max(now, unit.heardAt + static_cast<Millis>((1 - unit.progress) / perMilli));
+    constexpr double minMeasuredProgress = 0.1;
+    if (done < minMeasuredProgress || unit.heardAt <= unit.startedAt)
+        return std::max(now, unit.startedAt + this->expectedRunTime(unit));
+    const double progressPerMs = done / static_cast<double>(unit.heardAt - unit.startedAt);
+    return std::max(now, unit.heardAt + static_cast<Millis>((1 - unit.progress) / progressPerMs));
 }
 
 // The worker whose member has done least; null if several are as far.
-TaskPlanner::Worker* TaskPlanner::slowestMember(const Unit& unit)
+TaskPlanner::Worker* TaskPlanner::slowestWorker(const Unit& unit)
 {
     Worker* slowest = nullptr;
-    double least = std::numeric_limits<double>::max();
-    bool shared = false;
+    double minProgress = std::numeric_limits<double>::max();
+    bool isTied = false;
     for (std::size_t member = 0; member < unit.workers.size(); ++member) {
         Worker* worker = this->find(unit.workers[member]);
         const auto placedRun = worker ? worker->placedRuns.find({ unit.task(static_cast<std::int64_t>(member)), unit.run }) : std::map<RunRef, PlacedRun>::iterator();
         if (!worker || placedRun == worker->placedRuns.end())
             continue;
-        shared = shared || (placedRun->second.progress == least && worker != slowest);
-        if (placedRun->second.progress < least) {
-            least = placedRun->second.progress;
+        isTied = isTied || (placedRun->second.progress == minProgress && worker != slowest);
+        if (placedRun->second.progress < minProgress) {
+            minProgress = placedRun->second.progress;
             slowest = worker;
-            shared = false;
+            isTied = false;
         }
     }
-    return shared ? nullptr : slowest;
+    return isTied ? nullptr : slowest;
 }
 
-void TaskPlanner::noticeStalls(Millis now)
+void TaskPlanner::stopStalledUnits(Millis now)
 {
     std::vector<UnitKey> stalled;
     for (const auto& [key, unit] : this->units) {
         if (unit.state != UnitState::Running || unit.stopping || unit.startedAt == 0 || unit.step().longRunning)
             continue;
-        const auto limit = std::max(stallLimit, static_cast<Millis>(static_cast<double>(this->expectedRun(unit)) * stallShare));
+        const auto limit = std::max(minStallTime, static_cast<Millis>(static_cast<double>(this->expectedRunTime(unit)) * stallFraction));
         if (unit.heardAt - unit.movedAt >= limit)
             stalled.push_back(key);
     }
     for (const UnitKey& key : stalled) {
         Unit& unit = this->units.at(key);
         this->emit(PlanEventKind::UnitStalled, key, unit.run, unit.workers.front().id, fmt::format("at {}%", static_cast<int>(unit.progress * 100)));
-        if (Worker* worker = this->slowestMember(unit)) {
+        if (Worker* worker = this->slowestWorker(unit)) {
             unit.avoid.push_back(worker->seen.incarnation.id);
             worker->trust.stalled(now);
         }
@@ -132,19 +132,19 @@
 
 // Runs on a worker that leaves and would not end in time are moved while what
 // they have saved can still be had.
-void TaskPlanner::clearLeaving(Millis now)
+void TaskPlanner::evacuateLeavingWorkers(Millis now)
 {
-    std::vector<UnitKey> moved;
+    std::vector<UnitKey> unitsToMove;
     for (const auto& [id, worker] : this->workers) {
         if (!worker.seen.leaving)
             continue;
         for (const auto& [run, placedRun] : worker.placedRuns) {
             const Unit* unit = placedRun.stray || placedRun.stopWanted ? nullptr : this->find(placedRun.unit);
             if (unit && this->expectedEnd(*unit, now) > worker.leavesAt - leaveMargin)
-                moved.push_back(placedRun.unit);
+                unitsToMove.push_back(placedRun.unit);
         }
     }
-    for (const UnitKey& key : moved) {
+    for (const UnitKey& key : unitsToMove) {
         if (Unit* unit = this->find(key)) {
             this->emit(PlanEventKind::UnitEvicted, key, unit->run, "", "its worker leaves");
             this->stopUnit(*unit, now);
@@ -152,7 +152,7 @@
     }
 }
 
-void TaskPlanner::markGuaranteed()
+void TaskPlanner::markGuaranteedJobs()
 {
     std::vector<ActiveJob*> urgent;
     for (auto& [id, active] : this->jobs) {
@@ -173,14 +173,14 @@
 // halves in four seconds, for bursts come in waves.
 std::int64_t TaskPlanner::urgentDemand(const std::string& service, Millis now)
 {
-    constexpr double halvesIn = 4000;
+    constexpr double demandHalfLife = 4000;
     double present = 0;
     for (const auto& [key, unit] : this->units) {
         if (unit.job->terms.priority == 0 && unit.job->terms.service == service)
             present += static_cast<double>(unit.members() * unit.step().each.accelerators);
     }
-    Demanded& demanded = this->urgentDemanded[service];
-    const double decayed = demanded.accelerators * std::exp2(-static_cast<double>(now - demanded.at) / halvesIn);
+    DecayingDemand& demanded = this->recentUrgentDemand[service];
+    const double decayed = demanded.accelerators * std::exp2(-static_cast<double>(now - demanded.at) / demandHalfLife);
     demanded = { std::max(present, decayed), now };
     return static_cast<std::int64_t>(demanded.accelerators);
 }
@@ -201,7 +201,7 @@
 }
 
 // What ran there before its trust ended says nothing of it, and may last.
-bool TaskPlanner::isOnTrial(const Worker& worker)
+bool TaskPlanner::hasTrialRun(const Worker& worker)
 {
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) {
         const PlacedRun& placedRun = row.second;
@@ -209,21 +209,21 @@
     });
 }
 
-Absence TaskPlanner::absenceOf(const Worker& worker, Millis now) const
+WorkerAvailability TaskPlanner::availabilityOf(const Worker& worker, Millis now) const
 {
     if (!worker.listed)
-        return Absence::Unlisted;
+        return WorkerAvailability::Unlisted;
     if (worker.seen.leaving)
-        return Absence::Leaving;
+        return WorkerAvailability::Leaving;
     if (worker.silent)
-        return Absence::Silent;
+        return WorkerAvailability::Silent;
     if (now < worker.takesNothingUntil)
-        return Absence::Resting;
-    if (this->isDoubted(worker, now))
-        return Absence::Doubted;
-    if (!worker.trust.takesWork(now, !isOnTrial(worker)))
-        return Absence::Distrusted;
-    return worker.known ? Absence::None : Absence::Unknown;
+        return WorkerAvailability::Resting;
+    if (this->isInDoubtedDomain(worker, now))
+        return WorkerAvailability::Doubted;
+    if (!worker.trust.takesWork(now, !hasTrialRun(worker)))
+        return WorkerAvailability::Distrusted;
+    return worker.known ? WorkerAvailability::Available : WorkerAvailability::NotPolled;
 }
 
 Snapshot TaskPlanner::makeSnapshot(const std::string& service, Millis now) const
@@ -231,29 +231,29 @@
     Snapshot snapshot;
     snapshot.now = now;
     for (const auto& [id, worker] : this->workers) {
-        const Absence absence = worker.seen.service == service ? this->absenceOf(worker, now) : Absence::Unlisted;
-        if (absence != Absence::None && absence != Absence::Unknown)
+        const WorkerAvailability availability = worker.seen.service == service ? this->availabilityOf(worker, now) : WorkerAvailability::Unlisted;
+        if (availability != WorkerAvailability::Available && availability != WorkerAvailability::NotPolled)
             continue;
-        SnapshotWorker place { .id = id, .rack = worker.seen.rack, .labels = &worker.seen.labels, .capacity = worker.seen.capacity };
-        if (absence == Absence::Unknown) {
+        SnapshotWorker snapshotWorker { .id = id, .rack = worker.seen.rack, .labels = &worker.seen.labels, .capacity = worker.seen.capacity };
+        if (availability == WorkerAvailability::NotPolled) {
             if (worker.placedRuns.empty())
-                snapshot.unpolled.push_back(std::move(place));
+                snapshot.unpolled.push_back(std::move(snapshotWorker));
             continue;
         }
-        place.speed = this->speeds.of(id);
-        place.free = worker.seen.capacity;
-        place.free -= worker.used;
-        place.afterStops = place.free;
-        place.oneMore = worker.trust.onTrial();
+        snapshotWorker.speed = this->workerSpeeds.of(id);
+        snapshotWorker.free = worker.seen.capacity;
+        snapshotWorker.free -= worker.used;
+        snapshotWorker.afterStops = snapshotWorker.free;
+        snapshotWorker.oneMore = worker.trust.onTrial();
         for (const auto& [run, placedRun] : worker.placedRuns) {
             const bool ending = placedRun.stray || placedRun.stopWanted;
             if (ending)
-                place.afterStops += placedRun.room;
+                snapshotWorker.afterStops += placedRun.room;
             if (this->isolatedUnits.contains(placedRun.unit))
-                place.isolatedFor = placedRun.unit.job;
-            place.allocations.push_back(this->allocationOf(placedRun, now));
+                snapshotWorker.isolatedFor = placedRun.unit.job;
+            snapshotWorker.allocations.push_back(this->allocationOf(placedRun, now));
         }
-        snapshot.workers.push_back(std::move(place));
+        snapshot.workers.push_back(std::move(snapshotWorker));
     }
     return snapshot;
 }
@@ -271,24 +271,24 @@
     request.sameRack = step.sameRack;
     request.mostPerWorker = step.mostPerWorker;
     request.avoid = &unit.avoid;
-    request.expected = this->expectedRun(unit);
+    request.expected = this->expectedRunTime(unit);
     request.urgent = unit.job->terms.priority == 0;
     return request;
 }
 
-std::vector<TaskPlanner::Candidate> TaskPlanner::rank(const std::set<UnitKey>& keys, Millis now, Millis wall)
+std::vector<TaskPlanner::Candidate> TaskPlanner::rankCandidates(const std::set<UnitKey>& keys, Millis now, Millis wall)
 {
     std::vector<Candidate> candidates;
     for (const UnitKey& key : keys) {
         Unit& unit = this->units.at(key);
         if (unit.notBefore > now) {
-            unit.waitReason = WaitReason::NotDue;
+            unit.waitReason = WaitReason::InRetryDelay;
             continue;
         }
         // Tasks of a step that saved nothing are alike, and there may be hundreds.
-        const Candidate* before = candidates.empty() ? nullptr : &candidates.back();
-        if (before && unit.saved == 0 && before->unit->saved == 0 && isSameStep(before->unit->key, key)) {
-            candidates.push_back({ &unit, before->queueKey, before->waitedSince });
+        const Candidate* previous = candidates.empty() ? nullptr : &candidates.back();
+        if (previous && unit.saved == 0 && previous->unit->saved == 0 && isSameStep(previous->unit->key, key)) {
+            candidates.push_back({ &unit, previous->queueKey, previous->waitedSince });
             continue;
         }
         const ActiveJob& active = this->jobs.at(key.job);
@@ -297,7 +297,7 @@
         demand.guaranteed = active.guaranteed;
         demand.priority = job.terms.priority;
         demand.waitedSince = now - (wall - (job.repeats > 0 ? job.dueAt(key.occurrence) : job.acceptedAt));
-        demand.expected = this->expectedRun(unit);
+        demand.expected = this->expectedRunTime(unit);
         demand.chain = this->runTimes.expect(job.terms.queue, unit.step().estimate).work;
         demand.stretch = job.terms.stretch;
         demand.target = job.terms.latencyTarget;
@@ -308,7 +308,7 @@
 }
 
 // Counted once for all units of a step, of which there may be hundreds.
-WorkerCounts TaskPlanner::siblingsOf(const UnitKey& key) const
+WorkerCounts TaskPlanner::workersOfSiblings(const UnitKey& key) const
 {
     WorkerCounts counts;
     for (auto other = this->units.lower_bound({ key.job, key.occurrence, key.step, wholeGang }); other != this->units.end() && isSameStep(other->first, key); ++other) {
@@ -317,21 +317,21 @@
     return counts;
 }
 
-void TaskPlanner::decide(Millis now, Millis wall)
+void TaskPlanner::runRound(Millis now, Millis wall)
 {
     std::map<std::string, Snapshot> snapshots;
     std::map<std::string, int> reservations;
-    std::vector<Candidate> candidates = this->rank(this->round.kind == RoundKind::Urgent ? this->urgentUnits : this->waitingUnits, now, wall);
+    std::vector<Candidate> candidates = this->rankCandidates(this->round.kind == RoundKind::Urgent ? this->urgentWaitingUnits : this->waitingUnits, now, wall);
     this->round.candidates = static_cast<std::int64_t>(candidates.size());
     std::map<std::string, FailedRequests> failedRequests;
     int evictionSearches = 0;
-    this->isAdviceLeft = false;
-    const UnitKey* blocked = nullptr; // A step of which a unit that may use every worker found no place.
-    const UnitKey* counted = nullptr; // Of the step that `siblings` tells of.
+    this->hasDeferredAdvice = false;
+    const UnitKey* blockedStep = nullptr; // A step of which a unit that may use every worker found no place.
+    const UnitKey* countedStep = nullptr; // Of the step that `siblings` tells of.
     WorkerCounts siblings;
     for (Candidate& candidate : candidates) {
         Unit& unit = *candidate.unit;
-        if (blocked && isSameStep(*blocked, unit.key)) {
+        if (blockedStep && isSameStep(*blockedStep, unit.key)) {
             unit.waitReason = WaitReason::BehindSibling;
             continue; // Its units request for the same, so the next finds none either.
         }
@@ -343,25 +343,25 @@
         }
         PlacementRequest request = this->requestOf(unit);
         std::set<std::string> isolation;
-        if (unit.suspect && now - unit.waitingSince < longestIsolationWait) {
+        if (unit.suspect && now - unit.waitingSince < maxIsolationWait) {
             request.isolatedFor = unit.key.job;
-            isolation = this->isolationOf(unit.key.job);
+            isolation = this->isolatedWorkersOf(unit.key.job);
             request.isolation = isolation.empty() ? nullptr : &isolation;
         }
         std::set<std::string> allowed;
-        const bool hasPolicy = this->options.advised && unit.job->terms.advice.valid > 0;
+        const bool hasPolicy = this->options.hasAdviceService && unit.job->terms.advice.valid > 0;
         if (hasPolicy) {
-            allowed = this->allowedWorkers(this->advice[{ unit.key.job, unit.key.occurrence, unit.key.step }], snapshot->second, now);
+            allowed = this->allowedWorkers(this->adviceByStep[{ unit.key.job, unit.key.occurrence, unit.key.step }], snapshot->second, now);
             request.allowed = &allowed;
         }
         if (request.mostPerWorker > 0) {
-            if (!counted || !isSameStep(*counted, unit.key))
-                siblings = this->siblingsOf(unit.key);
-            counted = &unit.key;
+            if (!countedStep || !isSameStep(*countedStep, unit.key))
+                siblings = this->workersOfSiblings(unit.key);
+            countedStep = &unit.key;
             request.siblings = &siblings;
         }
         unit.waitReason = WaitReason::NoAdvice;
-        if (hasPolicy && !this->isAdvised(unit, snapshot->second, request, now))
+        if (hasPolicy && !this->resolveAdvice(unit, snapshot->second, request, now))
             continue;
         // A place that no set of workers can offer is not waited for.
         if ((!request.rack.empty() || request.sameRack) && !snapshot->second.couldEverFit(request)) {
@@ -375,39 +375,39 @@
         }
         const bool plain = request.isolatedFor.empty() && request.mostPerWorker == 0 && unit.avoid.empty() && !hasPolicy;
         FailedRequests& failed = failedRequests[service];
-        const bool hopeless = failed.cover(request);
-        if (!hopeless && this->tryPlace(candidate, snapshot->second, request, now)) {
+        const bool knownToFail = failed.cover(request);
+        if (!knownToFail && this->tryPlace(candidate, snapshot->second, request, now)) {
             if (request.siblings)
                 count(siblings, unit.workers);
             continue;
         }
-        unit.waitReason = WaitReason::NoIsolation;
+        unit.waitReason = WaitReason::NoWorkerForIsolation;
         if (!request.isolatedFor.empty())
             continue; // Its siblings may find a place, and none is kept for it.
         // Stopping others throws work away; the idle workers that a planner which has
         // just taken over has not heard yet answer within a fraction of a second.
-        const bool roomIsNear = !snapshot->second.unpolled.empty() && snapshot->second.couldFitUnpolled(request);
-        if (couldFit && !roomIsNear && evictionSearches < mostEvictionSearches && this->mayEvict(candidate, now)) {
+        const bool hasUnpolledRoom = !snapshot->second.unpolled.empty() && snapshot->second.couldFitUnpolled(request);
+        if (couldFit && !hasUnpolledRoom && evictionSearches < maxEvictionSearches && this->canEvict(candidate, now)) {
             ++evictionSearches;
             ++this->round.evictionSearches;
             if (this->tryEvict(candidate, snapshot->second, request, now)) {
-                unit.waitReason = WaitReason::RoomPromised;
+                unit.waitReason = WaitReason::AwaitsStops;
                 failedRequests.erase(service); // It moved room from one to another.
                 continue;
             }
         }
         unit.waitReason = WaitReason::NoRoom;
-        this->reportWait(candidate, snapshot->second, request, now);
+        this->reportGuaranteeWait(candidate, snapshot->second, request, now);
         if (unit.avoid.empty())
-            blocked = &unit.key;
-        if (plain && !hopeless)
+            blockedStep = &unit.key;
+        if (plain && !knownToFail)
             failed.add(request);
-        if (reservations[service]++ < mostReservations) {
+        if (reservations[service]++ < maxReservations) {
             ++this->round.reservations;
             snapshot->second.reserve(request);
         }
     }
-    if (this->round.kind == RoundKind::Whole && !this->isAdviceLeft)
+    if (this->round.kind == RoundKind::Whole && !this->hasDeferredAdvice)
         ++this->advicePass;
     if (this->round.kind == RoundKind::Whole)
         this->reportOldestWait(candidates, snapshots, now);
@@ -433,8 +433,8 @@
     }
     if (const auto places = snapshot.findAfterStops(request)) {
         snapshot.promise(request, *places);
-        unit.waitReason = WaitReason::RoomPromised;
-        this->reportWait(candidate, snapshot, request, now);
+        unit.waitReason = WaitReason::AwaitsStops;
+        this->reportGuaranteeWait(candidate, snapshot, request, now);
         return true;
     }
     return false;
--- a/src/tasks/task_planner_violations.cc
+++ b/src/tasks/task_planner_violations.cc
@@ -11,20 +11,20 @@
 
 std::vector<std::string> TaskPlanner::violations() const
 {
-    std::vector<std::string> found;
-    this->checkWorkers(found);
-    this->checkUnits(found);
-    this->checkJobs(found);
-    return found;
+    std::vector<std::string> problems;
+    this->checkWorkers(problems);
+    this->checkUnits(problems);
+    this->checkJobs(problems);
+    return problems;
 }
 
-void TaskPlanner::checkWorkers(std::vector<std::string>& found) const
+void TaskPlanner::checkWorkers(std::vector<std::string>& problems) const
 {
     // No record of such a run is on its way, so nobody would ever send its start.
     const auto isRecorded = [this](const std::string& worker, const RunRef& run) {
         const std::pair<std::string, RunRef> start { worker, run };
         const auto holds = [&start](const auto& starts) { return std::find(starts.begin(), starts.end(), start) != starts.end(); };
-        return holds(this->startsToRecord) || (this->batchUnderWay && holds(this->startsInBatch));
+        return holds(this->startsToRecord) || (this->isBatchPending && holds(this->startsInBatch));
     };
     std::map<TaskRef, int> live;
     for (const auto& [id, worker] : this->workers) {
@@ -33,37 +33,37 @@
             used += placedRun.room;
             const auto unit = this->units.find(placedRun.unit);
             if (!placedRun.stray && (unit == this->units.end() || unit->second.run != run.run || unit->second.state != UnitState::Running))
-                found.push_back("a run without its unit: " + run.task.job);
+                problems.push_back("a run without its unit: " + run.task.job);
             if (!placedRun.stray && ++live[run.task] > 1)
-                found.push_back("a task twice: " + run.task.job);
+                problems.push_back("a task twice: " + run.task.job);
             if (placedRun.phase == RunPhase::Recording && !isRecorded(id, run))
-                found.push_back("a run that waits for a record nobody makes: " + run.task.job);
+                problems.push_back("a run that waits for a record nobody makes: " + run.task.job);
         }
         if (!(used == worker.used))
-            found.push_back("the room of " + id + " is not that of its runs");
+            problems.push_back("the room of " + id + " is not that of its runs");
     }
 }
 
-void TaskPlanner::checkUnits(std::vector<std::string>& found) const
+void TaskPlanner::checkUnits(std::vector<std::string>& problems) const
 {
     for (const auto& [key, unit] : this->units) {
         if ((unit.state == UnitState::Waiting) != this->waitingUnits.contains(key))
-            found.push_back("the queue is not the set of waiting units: " + key.job);
-        if (this->urgentUnits.contains(key) != (unit.state == UnitState::Waiting && unit.job->terms.priority == 0))
-            found.push_back("the urgent queue is not the set of urgent units that wait: " + key.job);
+            problems.push_back("the queue is not the set of waiting units: " + key.job);
+        if (this->urgentWaitingUnits.contains(key) != (unit.state == UnitState::Waiting && unit.job->terms.priority == 0))
+            problems.push_back("the urgent queue is not the set of urgent units that wait: " + key.job);
         if (this->isolatedUnits.contains(key) && (unit.state != UnitState::Running || !unit.suspect))
-            found.push_back("isolated without being suspect: " + key.job);
+            problems.push_back("isolated without being suspect: " + key.job);
         if (!this->jobs.contains(key.job))
-            found.push_back("a unit without its job: " + key.job);
+            problems.push_back("a unit without its job: " + key.job);
         if (unit.state == UnitState::Waiting)
             continue;
         const std::int64_t placed = this->membersPlaced(unit);
         if (unit.state != UnitState::Running || placed == 0 || placed != unit.left || (placed < unit.members() && !unit.stopping))
-            found.push_back(fmt::format("a unit with {} of {} members on workers that counts {}: {}", placed, unit.members(), unit.left, key.job));
+            problems.push_back(fmt::format("a unit with {} of {} members on workers that counts {}: {}", placed, unit.members(), unit.left, key.job));
     }
     for (const UnitKey& key : this->waitingUnits) {
         if (!this->units.contains(key))
-            found.push_back("the queue holds a unit that is gone: " + key.job);
+            problems.push_back("the queue holds a unit that is gone: " + key.job);
     }
 }
 
@@ -80,7 +80,7 @@
     return placed;
 }
 
-void TaskPlanner::checkJobs(std::vector<std::string>& found) const
+void TaskPlanner::checkJobs(std::vector<std::string>& problems) const
 {
     for (const auto& [id, active] : this->jobs) {
         if (isFinal(active.state))
@@ -91,15 +91,15 @@
             left[{ next->first.occurrence, next->first.step }].push_back(next->first.index);
         for (const auto& [number, occurrence] : active.occurrences) {
             for (std::size_t i = 0; i < occurrence.steps.size(); ++i) {
-                const std::string problem = problemOf(active, occurrence, i, left[{ number, static_cast<std::int64_t>(i) }]);
+                const std::string problem = stepViolation(active, occurrence, i, left[{ number, static_cast<std::int64_t>(i) }]);
                 if (!problem.empty())
-                    found.push_back(fmt::format("{}: {}.{}.{}", problem, id, number, i));
+                    problems.push_back(fmt::format("{}: {}.{}.{}", problem, id, number, i));
             }
         }
     }
 }
 
-std::string TaskPlanner::problemOf(const ActiveJob& active, const Occurrence& occurrence, std::size_t index, const std::vector<std::int64_t>& left)
+std::string TaskPlanner::stepViolation(const ActiveJob& active, const Occurrence& occurrence, std::size_t index, const std::vector<std::int64_t>& left)
 {
     const StepState& state = occurrence.steps[index];
     const Step& step = active.job->steps[index];
--- a/src/tasks/task_planner_workers.cc
+++ b/src/tasks/task_planner_workers.cc
@@ -19,11 +19,11 @@
 
 void TaskPlanner::grantLease(Worker& worker, Millis now) const
 {
-    const auto longest = static_cast<Millis>(static_cast<double>(this->options.longestLease) * slowestClock);
-    worker.leaseOverBy = std::max(worker.leaseOverBy, now + longest + clockSlack);
+    const auto maxDuration = static_cast<Millis>(static_cast<double>(this->options.maxLease) * leaseClockFactor);
+    worker.leaseOverBy = std::max(worker.leaseOverBy, now + maxDuration + clockUncertainty);
 }
 
-void TaskPlanner::workersSeen(const std::vector<WorkerSighting>& sightings, Millis now)
+void TaskPlanner::workersListed(const std::vector<WorkerSighting>& sightings, Millis now)
 {
     std::set<std::string> listed;
     for (const WorkerSighting& seen : sightings) {
@@ -52,7 +52,7 @@
         if (!listed.contains(next->first)) {
             worker.listed = false;
             // What may be carried out late has to be known if its next incarnation is listed.
-            if (worker.placedRuns.empty() && !mayHaveLateCalls(worker, now)) {
+            if (worker.placedRuns.empty() && !canReceiveLateCalls(worker, now)) {
                 this->emit(PlanEventKind::WorkerGone, {}, 0, next->first, "no longer listed");
                 next = this->workers.erase(next);
                 continue;
@@ -62,75 +62,75 @@
     }
 }
 
-void TaskPlanner::pollAnswered(const Incarnation& incarnation, Millis sentAt, bool quick, const WorkerReport& report, Millis now)
+void TaskPlanner::pollAnswered(const Incarnation& incarnation, Millis sentAt, bool concurrent, const WorkerReport& report, Millis now)
 {
     Worker* worker = this->find(incarnation);
     if (!worker)
         return;
     if (report.born < worker->seen.incarnation.born && report.born > 0)
-        return this->pollFailed(incarnation, quick, WorkerFault::NoAnswer, now); // Overtaken by a poll at the present incarnation.
+        return this->pollFailed(incarnation, concurrent, WorkerFault::NoAnswer, now); // Overtaken by a poll at the present incarnation.
     if (report.born > worker->seen.incarnation.born)
-        this->changeIncarnation(*worker, report, sentAt, quick, now);
+        this->changeIncarnation(*worker, report, sentAt, concurrent, now);
     if (!worker->known)
         this->emit(PlanEventKind::WorkerKnown, {}, 0, incarnation.id, fmt::format("{} runs, {} ends", report.running.size(), report.ended.size()));
-    (quick ? worker->quickPollUnderWay : worker->pollUnderWay) = false;
+    (concurrent ? worker->quickPollUnderWay : worker->pollUnderWay) = false;
     worker->known = true;
     worker->silent = false;
     worker->heardAt = now;
     worker->pollPause = 0;
     worker->nextPollAt = now;
     worker->incarnationShownAt = std::max(worker->incarnationShownAt, sentAt);
-    if (!quick)
+    if (!concurrent)
         worker->acknowledged = std::max(worker->acknowledged, worker->ackUnderWay);
     if (worker->acknowledged >= worker->durable)
         worker->ackDueBy = 0;
     this->pacer.changed();
     for (const EndedTask& end : report.ended)
-        this->applyEnd(*worker, end, now);
+        this->applyEndedTask(*worker, end, now);
     for (const RunningTask& running : report.running)
-        this->applyRunning(*worker, running, now);
-    this->settleUnlisted(*worker, report, sentAt, now);
+        this->applyRunningTask(*worker, running, now);
+    this->removeUnlistedRuns(*worker, report, sentAt, now);
     // Somebody has renewed its lease later than this planner knew of.
     if (!report.running.empty() && now >= worker->leaseOverBy)
         this->grantLease(*worker, now);
 }
 
-void TaskPlanner::fellSilent(Worker& worker, Millis now)
+void TaskPlanner::markSilent(Worker& worker, Millis now)
 {
     worker.silent = true;
     this->domainDoubts.wentSilent(worker.seen.domain, worker.seen.incarnation.id, now);
 }
 
-bool TaskPlanner::isDoubted(const Worker& worker, Millis now) const
+bool TaskPlanner::isInDoubtedDomain(const Worker& worker, Millis now) const
 {
     return this->domainDoubts.covers(worker.seen.domain, worker.heardAt, now);
 }
 
-void TaskPlanner::pollFailed(const Incarnation& incarnation, bool quick, WorkerFault fault, Millis now)
+void TaskPlanner::pollFailed(const Incarnation& incarnation, bool concurrent, WorkerFault fault, Millis now)
 {
     Worker* worker = this->find(incarnation);
     if (!worker)
         return;
-    (quick ? worker->quickPollUnderWay : worker->pollUnderWay) = false;
+    (concurrent ? worker->quickPollUnderWay : worker->pollUnderWay) = false;
     if (fault == WorkerFault::Deposed) {
         this->isDeposed = true;
         return;
     }
     if (fault == WorkerFault::OtherIncarnation) {
         this->loseIncarnation(*worker, now, "another incarnation answers");
-        worker->nextPollAt = now + longestPollPause;
+        worker->nextPollAt = now + maxPollBackoff;
         return;
     }
-    if (!quick && worker->ackUnderWay > 0 && fault == WorkerFault::NoAnswer)
+    if (!concurrent && worker->ackUnderWay > 0 && fault == WorkerFault::NoAnswer)
         worker->ackLostAt = now;
     if (!worker->silent)
         this->emit(PlanEventKind::WorkerSilent, {}, 0, incarnation.id, std::string(nameOf(fault)));
-    this->fellSilent(*worker, now);
-    worker->pollPause = std::clamp(worker->pollPause * 2, firstPollPause, longestPollPause);
+    this->markSilent(*worker, now);
+    worker->pollPause = std::clamp(worker->pollPause * 2, minPollBackoff, maxPollBackoff);
     worker->nextPollAt = now + worker->pollPause;
 }
 
-void TaskPlanner::applyEnd(Worker& worker, const EndedTask& end, Millis now)
+void TaskPlanner::applyEndedTask(Worker& worker, const EndedTask& end, Millis now)
 {
     if (end.number <= worker.handled)
         return;
@@ -143,16 +143,16 @@
             this->emit(PlanEventKind::WorkerDistrusted, {}, 0, worker.seen.incarnation.id, "runs fail one after the other");
     }
     if (worker.placedRuns.contains(end.run))
-        this->memberGone(worker, end.run, end.end, end.checkpoint, now);
+        this->removeMember(worker, end.run, end.end, end.checkpoint, now);
     if (end.end == RunEnd::Done)
-        this->acceptLateDone(end.run, now);
+        this->acceptLateCompletion(end.run, now);
     if (end.end == RunEnd::Failed)
-        this->countFailure(end.run, now);
+        this->countFailedRun(end.run, now);
 }
 
 // A run that was given up as lost has ended well after all. Its task need not be
 // done again; where that has begun already, the second run is stopped.
-void TaskPlanner::acceptLateDone(const RunRef& run, Millis now)
+void TaskPlanner::acceptLateCompletion(const RunRef& run, Millis now)
 {
     const UnitKey key = this->unitOf(run.task);
     Unit* unit = this->find(key);
@@ -160,10 +160,10 @@
         return;
     if (unit->state == UnitState::Running)
         this->abandonRun(*unit, now);
-    this->unitDone(key, now);
+    this->completeUnit(key, now);
 }
 
-void TaskPlanner::applyRunning(Worker& worker, const RunningTask& running, Millis now)
+void TaskPlanner::applyRunningTask(Worker& worker, const RunningTask& running, Millis now)
 {
     const auto found = worker.placedRuns.find(running.run);
     if (found == worker.placedRuns.end()) {
@@ -195,12 +195,12 @@
         unit->movedAt = now;
     }
     if (unit->adopted && firstListed)
-        this->learnWorkBefore(*unit, progress, now);
+        this->estimateInheritedRunTime(*unit, progress, now);
     // Members have unequal work, and one that is through waits for the others.
     if (progress > placedRun.progress) {
         placedRun.progress = progress;
         unit->movedAt = now;
-        unit->progress = this->leastProgress(*unit);
+        unit->progress = this->minMemberProgress(*unit);
         if (unit->step().longRunning && progress >= 1 && placedRun.confirmedAt >= worker.trust.distrustedUntil())
             worker.trust.done(); // It serves, and no end will tell so.
     }
@@ -213,47 +213,47 @@
 
 // Nobody knows when a run began that an earlier planner started. Of a gang, the member with most
 // work tells how long it has been at work: others are further in the same time.
-void TaskPlanner::learnWorkBefore(Unit& unit, double progress, Millis now) const
+void TaskPlanner::estimateInheritedRunTime(Unit& unit, double progress, Millis now) const
 {
-    const Millis whole = this->runTimes.expect(unit.job->terms.queue, unit.step().estimate).work;
-    const Millis ran = static_cast<Millis>(static_cast<double>(whole) * progress) - (now - unit.startedAt);
-    unit.ranBefore = std::min(unit.ranBefore.value_or(whole), std::max<Millis>(ran, 0));
+    const Millis expectedWork = this->runTimes.expect(unit.job->terms.queue, unit.step().estimate).work;
+    const Millis inheritedRunTime = static_cast<Millis>(static_cast<double>(expectedWork) * progress) - (now - unit.startedAt);
+    unit.ranBefore = std::min(unit.ranBefore.value_or(expectedWork), std::max<Millis>(inheritedRunTime, 0));
 }
 
-double TaskPlanner::leastProgress(const Unit& unit)
+double TaskPlanner::minMemberProgress(const Unit& unit)
 {
-    double least = 1;
+    double minProgress = 1;
     for (std::size_t member = 0; member < unit.workers.size(); ++member) {
         Worker* worker = this->find(unit.workers[member]);
         if (!worker)
             continue;
         const auto placedRun = worker->placedRuns.find({ unit.task(static_cast<std::int64_t>(member)), unit.run });
         if (placedRun != worker->placedRuns.end())
-            least = std::min(least, std::max(placedRun->second.progress, unit.progressAtStart));
+            minProgress = std::min(minProgress, std::max(placedRun->second.progress, unit.progressAtStart));
     }
-    return least;
+    return minProgress;
 }
 
 // A run that a complete list does not hold is not there. Whether it may still
 // come depends on who sent its start, and on whether a stop got there first.
-void TaskPlanner::settleUnlisted(Worker& worker, const WorkerReport& report, Millis sentAt, Millis now)
+void TaskPlanner::removeUnlistedRuns(Worker& worker, const WorkerReport& report, Millis sentAt, Millis now)
 {
     std::set<RunRef> listed;
     for (const RunningTask& running : report.running)
         listed.insert(running.run);
     for (const EndedTask& end : report.ended)
         listed.insert(end.run);
-    std::vector<RunRef> gone;
+    std::vector<RunRef> unlisted;
     for (const auto& [run, placedRun] : worker.placedRuns) {
         if (placedRun.phase == RunPhase::Recording || listed.contains(run))
             continue;
         const bool ranBefore = placedRun.phase == RunPhase::Running && placedRun.confirmedAt < sentAt;
-        const bool neverWill = placedRun.inherited || (placedRun.stopAnsweredAt > 0 && placedRun.stopAnsweredAt < sentAt);
-        if (ranBefore || neverWill)
-            gone.push_back(run);
+        const bool canNeverStart = placedRun.inherited || (placedRun.stopAnsweredAt > 0 && placedRun.stopAnsweredAt < sentAt);
+        if (ranBefore || canNeverStart)
+            unlisted.push_back(run);
     }
-    for (const RunRef& run : gone)
-        this->memberGone(worker, run, std::nullopt, "", now);
+    for (const RunRef& run : unlisted)
+        this->removeMember(worker, run, std::nullopt, "", now);
 }
 
 void TaskPlanner::startAnswered(const Incarnation& incarnation, const RunRef& run, StartAnswer answer, Millis now)
@@ -271,7 +271,7 @@
     // What an earlier try may still bring about is not undone by the answer to a later one.
     if (placedRun.startLost && !settlesEarlierTries(answer))
         answer = StartAnswer::NoAnswer;
-    const bool maySendAgain = unit && !unit->stopping && placedRun.startsSent < mostStarts && isWithinCapacity(*worker);
+    const bool canSendAgain = unit && !unit->stopping && placedRun.startsSent < maxStartAttempts && isWithinCapacity(*worker);
     switch (answer) {
     case StartAnswer::Started:
         this->confirmStart(placedRun, now);
@@ -283,10 +283,10 @@
         }
         return;
     case StartAnswer::NoAnswer:
-        this->fellSilent(*worker, now);
+        this->markSilent(*worker, now);
         worker->nextPollAt = now;
         rememberLostStart(*worker, placedRun, now);
-        if (maySendAgain)
+        if (canSendAgain)
             return this->sendStart(*worker, placedRun, *unit, now);
         placedRun.wantStop(now);
         if (unit)
@@ -301,14 +301,14 @@
         worker->nextPollAt = now;
         return;
     case StartAnswer::NotSent:
-        this->fellSilent(*worker, now);
+        this->markSilent(*worker, now);
         worker->nextPollAt = now;
         // A single task is sooner begun elsewhere; of a gang all members would be stopped.
-        if (maySendAgain && unit->members() > 1)
+        if (canSendAgain && unit->members() > 1)
             return this->sendStart(*worker, placedRun, *unit, now);
         break;
     case StartAnswer::NoTicket:
-        if (const auto known = this->advice.find({ run.task.job, run.task.occurrence, run.task.step }); known != this->advice.end())
+        if (const auto known = this->adviceByStep.find({ run.task.job, run.task.occurrence, run.task.step }); known != this->adviceByStep.end())
             known->second.forget(incarnation);
         break;
     case StartAnswer::Unwell:
@@ -318,24 +318,24 @@
         break;
     }
     if (unit)
-        unit->notBefore = now + retryPause;
-    this->memberGone(*worker, run, std::nullopt, "", now);
+        unit->notBefore = now + retryDelay;
+    this->removeMember(*worker, run, std::nullopt, "", now);
 }
 
-void TaskPlanner::stopAnswered(const Incarnation& incarnation, const RunRef& run, bool taken, Millis now)
+void TaskPlanner::stopAnswered(const Incarnation& incarnation, const RunRef& run, bool accepted, Millis now)
 {
     Worker* worker = this->find(incarnation);
     if (!worker || !worker->placedRuns.contains(run))
         return;
     PlacedRun& placedRun = worker->placedRuns.at(run);
     placedRun.stopUnderWay = false;
-    if (taken) {
+    if (accepted) {
         placedRun.stopAnsweredAt = now;
         worker->heardAt = now;
         return;
     }
-    this->fellSilent(*worker, now);
-    placedRun.stopPause = std::clamp(placedRun.stopPause * 2, firstOrderPause, stopRetry);
+    this->markSilent(*worker, now);
+    placedRun.stopPause = std::clamp(placedRun.stopPause * 2, minStopBackoff, stopRetryInterval);
     placedRun.nextStopAt = now + placedRun.stopPause;
 }
 
@@ -347,7 +347,7 @@
     const UnitKey key = unit.key;
     const std::int64_t run = unit.run;
     const std::vector<Incarnation> incarnations = unit.workers;
-    std::vector<std::pair<Worker*, RunRef>> unsent;
+    std::vector<std::pair<Worker*, RunRef>> unsentRuns;
     for (std::size_t member = 0; member < incarnations.size(); ++member) {
         Worker* worker = this->find(incarnations[member]);
         const RunRef ref { unit.task(static_cast<std::int64_t>(member)), run };
@@ -356,14 +356,14 @@
         PlacedRun& placedRun = worker->placedRuns.at(ref);
         placedRun.wantStop(now);
         if (placedRun.phase == RunPhase::Recording)
-            unsent.emplace_back(worker, ref);
+            unsentRuns.emplace_back(worker, ref);
     }
-    for (const auto& [worker, ref] : unsent)
-        this->memberGone(*worker, ref, std::nullopt, "", now);
+    for (const auto& [worker, ref] : unsentRuns)
+        this->removeMember(*worker, ref, std::nullopt, "", now);
     this->pacer.changed();
 }
 
-void TaskPlanner::memberGone(Worker& worker, const RunRef& ref, std::optional<RunEnd> end, const std::string& checkpoint, Millis now)
+void TaskPlanner::removeMember(Worker& worker, const RunRef& ref, std::optional<RunEnd> end, const std::string& checkpoint, Millis now)
 {
     const RunRef run = ref;
     const auto found = worker.placedRuns.find(run);
@@ -377,7 +377,7 @@
     if (!unit || unit->run != run.run || unit->state != UnitState::Running)
         return;
     if (end == RunEnd::Done) {
-        this->unitDone(placedRun.unit, now);
+        this->completeUnit(placedRun.unit, now);
         return;
     }
     if (!checkpoint.empty()) {
@@ -394,10 +394,10 @@
         this->stopUnit(*unit, now);
     unit = this->find(placedRun.unit);
     if (unit && unit->run == run.run && unit->state == UnitState::Running && unit->left == 0)
-        this->runOver(*unit, now);
+        this->requeueUnit(*unit, now);
 }
 
-void TaskPlanner::expire(Millis now)
+void TaskPlanner::expireLeases(Millis now)
 {
     for (auto& [id, worker] : this->workers) {
         if (worker.placedRuns.empty() || now < worker.leaseOverBy)
@@ -408,16 +408,16 @@
             worker.nextPollAt = std::min(worker.nextPollAt, now);
             continue;
         }
-        std::vector<RunRef> over;
+        std::vector<RunRef> expired;
         for (const auto& [run, placedRun] : worker.placedRuns) {
             if (placedRun.phase != RunPhase::Recording)
-                over.push_back(run);
+                expired.push_back(run);
         }
-        if (over.empty())
+        if (expired.empty())
             continue;
-        this->emit(PlanEventKind::WorkerLapsed, {}, 0, id, fmt::format("{} runs, no answer for a whole lease", over.size()));
-        for (const RunRef& run : over)
-            this->runLost(worker, run, RunLoss::LeaseOver, now);
+        this->emit(PlanEventKind::WorkerLapsed, {}, 0, id, fmt::format("{} runs, no answer for a whole lease", expired.size()));
+        for (const RunRef& run : expired)
+            this->loseRun(worker, run, RunLoss::LeaseOver, now);
         worker.known = false; // What runs there now, a poll has to tell.
     }
 }
--- a/src/tasks/testing/lasting_runs_test.cc
+++ b/src/tasks/testing/lasting_runs_test.cc
@@ -47,7 +47,7 @@
             seen.push_back({ .incarnation = { id, 1 }, .address = id, .service = "s", .domain = "d", .rack = "r", .labels = {}, .capacity = whole });
         }
         this->planner.applyCatalog(std::make_shared<Catalog>());
-        this->planner.workersSeen(seen, this->now);
+        this->planner.workersListed(seen, this->now);
     }
 
     void submit(const Job& submitted)
@@ -62,7 +62,7 @@
     {
         for (const Millis until = this->now + time; this->now < until; this->now += turn) {
             this->planner.step(this->now, this->now);
-            const Orders orders = this->planner.take(this->now);
+            const Orders orders = this->planner.takeOrders(this->now);
             for (const StartOrder& order : orders.starts)
                 this->start(order);
             for (const StopOrder& order : orders.stops)
@@ -70,7 +70,7 @@
             for (const PollOrder& order : orders.polls)
                 this->poll(order);
             for (const RecordBatch& batch : orders.batches)
-                this->planner.recorded(batch.number, this->now);
+                this->planner.batchRecorded(batch.number, this->now);
         }
     }
 
@@ -135,7 +135,7 @@
             worker.running.erase(current);
         }
         report.ended = worker.ended;
-        this->planner.pollAnswered(order.worker, this->now, order.beside, report, this->now);
+        this->planner.pollAnswered(order.worker, this->now, order.concurrent, report, this->now);
     }
 
     Millis now { 1000 };
--- a/src/tasks/testing/takeover_test.cc
+++ b/src/tasks/testing/takeover_test.cc
@@ -43,8 +43,8 @@
         this->plans.apply("progress/a", encodeProgress({ .state = JobState::Completed, .started = true }), 2);
         TaskPlanner planner({}, this->table, this->plans, now, now);
         planner.step(now, now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), planner.waiting());
-        const Orders orders = planner.take(now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), planner.waitingUnitCount());
+        const Orders orders = planner.takeOrders(now);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), orders.batches.size());
         CPPUNIT_ASSERT(this->tells(orders.batches[0].jobs, "state/a", encodeState(JobState::Completed)));
     }
@@ -55,19 +55,19 @@
         this->plans.apply("progress/a", encodeProgress({ .state = JobState::Running, .started = true }), 3);
         TaskPlanner planner({}, this->table, this->plans, now, now);
         planner.step(now, now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), planner.waiting());
-        CPPUNIT_ASSERT(planner.take(now).batches.empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), planner.waitingUnitCount());
+        CPPUNIT_ASSERT(planner.takeOrders(now).batches.empty());
     }
 
     void aPlanGoesOnlyWhenTheEndIsRecorded()
     {
         TaskPlanner planner({}, this->table, this->plans, now, now);
         planner.jobCancelled(job, now);
-        const Orders first = planner.take(now);
+        const Orders first = planner.takeOrders(now);
         CPPUNIT_ASSERT(this->tells(first.batches.at(0).plans, "progress/a", encodeProgress({ .state = JobState::Cancelled, .reason = "cancelled by its caller" })));
-        planner.recorded(first.batches[0].number, now);
-        planner.forget({ job });
-        const Orders second = planner.take(now + 10);
+        planner.batchRecorded(first.batches[0].number, now);
+        planner.forgetJobs({ job });
+        const Orders second = planner.takeOrders(now + 10);
         CPPUNIT_ASSERT(this->tells(second.batches.at(0).plans, "progress/a", ""));
     }
 
@@ -79,8 +79,8 @@
         this->plans.apply("progress/a", encodeProgress({ .state = JobState::Running, .started = true, .units = { unit } }), 2);
         TaskPlanner planner({}, this->table, this->plans, now, now);
         planner.step(now, now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), planner.waiting());
-        CPPUNIT_ASSERT(this->tells(planner.take(now).batches.at(0).jobs, "state/a", encodeState(JobState::Failed)));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), planner.waitingUnitCount());
+        CPPUNIT_ASSERT(this->tells(planner.takeOrders(now).batches.at(0).jobs, "state/a", encodeState(JobState::Failed)));
     }
 
     // Guards against work of seconds that is thrown away after a takeover, since the planner that
--- a/src/tasks/testing/task_planner_polls_test.cc
+++ b/src/tasks/testing/task_planner_polls_test.cc
@@ -70,7 +70,7 @@
         site.submit(job("waiting", 100, whole, 30000));
         constexpr Millis soon = 4000;
         site.run(site.now + soon);
-        CPPUNIT_ASSERT_EQUAL(workers, site.planner->knownWorkers());
+        CPPUNIT_ASSERT_EQUAL(workers, site.planner->knownWorkerCount());
         assertSound(site);
     }
 
@@ -102,7 +102,7 @@
         worker.address = "10.0.0.1:1";
         worker.service = "s";
         worker.capacity = { 128000, 512000, 8 };
-        planner.workersSeen({ worker }, this->now);
+        planner.workersListed({ worker }, this->now);
         this->turn(planner);
         planner.pollAnswered(worker.incarnation, this->now, false, { .born = 1 }, this->now);
         for (const StartOrder& start : this->turn(planner).starts)
@@ -117,7 +117,7 @@
             for (const PollOrder& poll : this->turn(planner).polls) {
                 acknowledges = acknowledges || poll.acknowledged == 1;
                 if (poll.acknowledged == 0)
-                    planner.pollAnswered(worker.incarnation, this->now, poll.beside, { .born = 1, .running = { { running, "", 1 } } }, this->now);
+                    planner.pollAnswered(worker.incarnation, this->now, poll.concurrent, { .born = 1, .running = { { running, "", 1 } } }, this->now);
             }
         }
         CPPUNIT_ASSERT(acknowledges);
@@ -133,8 +133,8 @@
             for (const StartOrder& start : orders.starts)
                 planner.startAnswered(worker.incarnation, start.run, StartAnswer::Old, this->now);
             for (const PollOrder& poll : orders.polls) {
-                CPPUNIT_ASSERT(poll.beside || shown);
-                planner.pollAnswered(worker.incarnation, this->now, poll.beside, { .born = 2 }, this->now);
+                CPPUNIT_ASSERT(poll.concurrent || shown);
+                planner.pollAnswered(worker.incarnation, this->now, poll.concurrent, { .born = 2 }, this->now);
                 shown = true;
             }
         }
@@ -152,7 +152,7 @@
         worker.address = "10.0.0.1:1";
         worker.service = "s";
         worker.capacity = { 128000, 512000, 8 };
-        planner.workersSeen({ worker }, this->now);
+        planner.workersListed({ worker }, this->now);
         this->turn(planner);
         planner.pollAnswered(worker.incarnation, this->now, false, { .born = 1 }, this->now);
         for (const StartOrder& start : this->turn(planner).starts)
@@ -164,15 +164,15 @@
             for (const PollOrder& poll : this->turn(planner).polls) {
                 acknowledges = acknowledges || poll.acknowledged == 1;
                 if (poll.acknowledged == 0)
-                    planner.pollAnswered(worker.incarnation, this->now, poll.beside, { .born = 1 }, this->now);
+                    planner.pollAnswered(worker.incarnation, this->now, poll.concurrent, { .born = 1 }, this->now);
             }
         }
         CPPUNIT_ASSERT(acknowledges);
         planner.pollFailed(worker.incarnation, false, WorkerFault::NoAnswer, this->now);
 
-        planner.workersSeen({}, this->now);
+        planner.workersListed({}, this->now);
         worker.incarnation.born = 2;
-        planner.workersSeen({ worker }, this->now);
+        planner.workersListed({ worker }, this->now);
         this->submit("next");
         planner.jobAccepted(this->table.find("next")->job, this->now, this->now);
         bool shown = false;
@@ -180,7 +180,7 @@
             const Orders orders = this->turn(planner);
             CPPUNIT_ASSERT(orders.starts.empty());
             for (const PollOrder& poll : orders.polls) {
-                planner.pollAnswered(worker.incarnation, this->now, poll.beside, { .born = 2 }, this->now);
+                planner.pollAnswered(worker.incarnation, this->now, poll.concurrent, { .born = 2 }, this->now);
                 shown = true;
             }
         }
@@ -201,9 +201,9 @@
         for (int i = 0; i < 3; ++i) {
             this->now += gap;
             planner.step(this->now, this->now);
-            Orders orders = planner.take(this->now);
+            Orders orders = planner.takeOrders(this->now);
             for (const RecordBatch& batch : orders.batches)
-                planner.recorded(batch.number, this->now);
+                planner.batchRecorded(batch.number, this->now);
             all.starts.insert(all.starts.end(), orders.starts.begin(), orders.starts.end());
             all.polls.insert(all.polls.end(), orders.polls.begin(), orders.polls.end());
         }
--- a/src/tasks/testing/task_planner_test.cc
+++ b/src/tasks/testing/task_planner_test.cc
@@ -183,7 +183,7 @@
         site.run(2000);
         while (site.planner->lastRound().kind != RoundKind::Whole)
             site.run(site.now + 5);
-        site.planner->stepTook(roundTook, site.now);
+        site.planner->reportStepDuration(roundTook, site.now);
         site.submit(gang("urgent", 2, half, 500, 0));
         const Millis submitted = site.now;
         while (site.runsOf("urgent") < 2 && site.now < submitted + 5000)
@@ -478,7 +478,7 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 80 }, site.runsOf("j1"));
         site.newPlanner();
         site.planner->step(site.now, site.now);
-        const Orders orders = site.planner->take(site.now);
+        const Orders orders = site.planner->takeOrders(site.now);
         CPPUNIT_ASSERT(orders.polls.size() <= mostAtOnce);
         for (const PollOrder& poll : orders.polls)
             CPPUNIT_ASSERT(site.isBusy(poll.worker.id));
@@ -486,7 +486,7 @@
         site.newPlanner();
         constexpr Millis soon = 1500;
         site.run(site.now + soon);
-        CPPUNIT_ASSERT_EQUAL(std::size_t { workers }, site.planner->knownWorkers());
+        CPPUNIT_ASSERT_EQUAL(std::size_t { workers }, site.planner->knownWorkerCount());
         assertSound(site);
     }
 
@@ -501,13 +501,13 @@
         VirtualSite site({ .seed = 33, .workers = workers, .failures = 0 });
         site.newPlanner();
         site.planner->step(site.now, site.now);
-        CPPUNIT_ASSERT(site.planner->take(site.now).polls.size() <= fewAtOnce);
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, site.planner->take(site.now).polls.size());
+        CPPUNIT_ASSERT(site.planner->takeOrders(site.now).polls.size() <= fewAtOnce);
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, site.planner->takeOrders(site.now).polls.size());
         const Millis wake = site.planner->nextWake(site.now, site.now);
         CPPUNIT_ASSERT(wake > site.now && wake <= site.now + 20);
         site.submit(job("j1", 30, whole, 60000));
         site.planner->step(site.now, site.now);
-        CPPUNIT_ASSERT(site.planner->take(site.now).polls.size() > fewAtOnce);
+        CPPUNIT_ASSERT(site.planner->takeOrders(site.now).polls.size() > fewAtOnce);
     }
 
     // A planner that takes over hears of the busy workers first. An urgent job that
@@ -567,7 +567,7 @@
         site.submit(job("j2", 2, one, 60000));
         site.run(4000);
         site.cancel("j1");
-        site.planner->forget({ "j1", "j2" });
+        site.planner->forgetJobs({ "j1", "j2" });
         site.run(4500);
         CPPUNIT_ASSERT(!site.table.find("j1"));
         CPPUNIT_ASSERT(site.table.find("j2")); // Not over.
--- a/src/tasks/testing/virtual_site.cc
+++ b/src/tasks/testing/virtual_site.cc
@@ -12,12 +12,12 @@
     ++this->term;
     ++this->generation;
     PlannerOptions planning;
-    planning.longestLease = this->options.lease;
+    planning.maxLease = this->options.lease;
     planning.stopTimeout = this->options.stopTime;
-    planning.advised = true;
+    planning.hasAdviceService = true;
     this->planner = std::make_unique<TaskPlanner>(planning, this->table, this->plans, this->now, this->now);
     this->planner->applyCatalog(this->catalog);
-    this->planner->workersSeen(this->sightings(), this->now);
+    this->planner->workersListed(this->sightings(), this->now);
 }
 
 void VirtualSite::killPlanner()
@@ -103,7 +103,7 @@
 void VirtualSite::relist()
 {
     if (this->planner)
-        this->planner->workersSeen(this->sightings(), this->now);
+        this->planner->workersListed(this->sightings(), this->now);
 }
 
 void VirtualSite::advise(const AdviceOrder& order)
@@ -137,13 +137,13 @@
     this->judgeLostWork();
     if (this->planner && this->now >= this->nextTurn)
         this->plan();
-    else if (this->planner && this->pollsBetweenTurns && this->planner->hasPollsLeft())
+    else if (this->planner && this->pollsBetweenTurns && this->planner->hasDuePolls())
         this->pollLeftOver();
 }
 
 void VirtualSite::pollLeftOver()
 {
-    for (const PollOrder& order : this->planner->takePolls(this->now).polls)
+    for (const PollOrder& order : this->planner->takeDuePolls(this->now).polls)
         this->poll(order);
 }
 
@@ -152,8 +152,8 @@
     this->nextTurn = this->now + this->turnGap;
     this->planner->step(this->now, this->now);
     if (this->planner->lastRound().kind == RoundKind::Whole)
-        this->planner->stepTook(this->roundTime, this->now + this->roundTime);
-    Orders orders = this->planner->take(this->now);
+        this->planner->reportStepDuration(this->roundTime, this->now + this->roundTime);
+    Orders orders = this->planner->takeOrders(this->now);
     this->planEvents.insert(this->planEvents.end(), orders.events.begin(), orders.events.end());
     for (const RecordBatch& batch : orders.batches)
         this->record(batch);
@@ -194,7 +194,7 @@
     });
     this->at(std::max(jobsAt, plansAt) + 1, [this, batch, mine] {
         if (mine == this->generation)
-            this->planner->recorded(batch.number, this->now);
+            this->planner->batchRecorded(batch.number, this->now);
     });
 }
 
@@ -326,7 +326,7 @@
 {
     const Millis sentAt = this->now;
     const std::int64_t term = this->term;
-    const Millis until = order.renews ? this->now + this->options.lease : 0;
+    const Millis until = order.renewsLease ? this->now + this->options.lease : 0;
     // A waiting poll is acted out by its answer alone: it is given after 100 ms.
     constexpr Millis shortWait = 100;
     this->at(this->now + (order.wait > 0 ? shortWait : 0), [this, order, term, until, sentAt, mine = this->generation] {
@@ -337,9 +337,9 @@
             [this, order, sentAt](const std::optional<WorkerReport>& report) {
                 if (report) {
                     this->noteListed(*report);
-                    this->planner->pollAnswered(order.worker, sentAt, order.beside, *report, this->now);
+                    this->planner->pollAnswered(order.worker, sentAt, order.concurrent, *report, this->now);
                 } else {
-                    this->planner->pollFailed(order.worker, order.beside, this->workers.at(order.worker.id).replaced ? WorkerFault::OtherIncarnation : WorkerFault::NoAnswer, this->now);
+                    this->planner->pollFailed(order.worker, order.concurrent, this->workers.at(order.worker.id).replaced ? WorkerFault::OtherIncarnation : WorkerFault::NoAnswer, this->now);
                 }
             });
     });
--- a/src/tasks/unit.h
+++ b/src/tasks/unit.h
@@ -56,7 +56,7 @@
     std::int64_t evictions { 0 }; // Runs that were stopped to make room for others.
     Millis waitingSince { 0 };
     Millis notBefore { 0 };
-    WaitReason waitReason { WaitReason::NotLookedAt };
+    WaitReason waitReason { WaitReason::NotConsidered };
     EvictionRefusal refusal { EvictionRefusal::None }; // Last told of, so that each round need not tell it again.
     Millis waitReportedAt { 0 }; // When the log last reported what this unit waits for.
     std::vector<std::string> avoid; // Workers on which a run failed or stalled.
--- a/src/tasks/wait_reason.cc
+++ b/src/tasks/wait_reason.cc
@@ -4,12 +4,12 @@
 
 namespace rattan::tasks {
 
-std::string detail::textOf(const Attendance& attendance)
+std::string detail::textOf(const AvailabilityCounts& workerCounts)
 {
     std::string text;
-    for (std::size_t i = 0; i < absences; ++i) {
-        if (attendance.counts[i] > 0)
-            text += fmt::format("{}{} {}", text.empty() ? "" : ", ", attendance.counts[i], absenceNames[i]);
+    for (std::size_t i = 0; i < availabilityCount; ++i) {
+        if (workerCounts.counts[i] > 0)
+            text += fmt::format("{}{} {}", text.empty() ? "" : ", ", workerCounts.counts[i], availabilityNames[i]);
     }
     return text.empty() ? "no workers" : text;
 }
--- a/src/tasks/wait_reason.h
+++ b/src/tasks/wait_reason.h
@@ -12,12 +12,12 @@
 namespace rattan::tasks::detail {
 
 enum class WaitReason {
-    NotLookedAt, // By no round yet.
-    NotDue, // Its pause after a failure is not over.
+    NotConsidered, // By no round yet.
+    InRetryDelay, // Its pause after a failure is not over.
     BehindSibling, // Another unit of its step found no place before it.
     NoAdvice, // It is not known yet where its queue's policy lets it run.
-    NoIsolation, // No worker is free of all other work.
-    RoomPromised, // Runs that are being stopped make room for it.
+    NoWorkerForIsolation, // No worker is free of all other work.
+    AwaitsStops, // Runs that are being stopped make room for it.
     NoRoom,
 };
 
@@ -25,30 +25,30 @@
 
 inline std::string_view nameOf(WaitReason reason) { return waitReasonNames.at(static_cast<std::size_t>(reason)); }
 
-enum class Absence {
-    None, // It takes work.
+enum class WorkerAvailability {
+    Available, // It takes work.
     Unlisted,
     Leaving,
     Silent,
     Resting, // Ends there could be acknowledged unread.
     Doubted, // With its failure domain.
     Distrusted, // Runs fail there.
-    Unknown, // Has not answered this planner yet.
+    NotPolled, // Has not answered this planner yet.
 };
 
-inline constexpr std::size_t absences = 8;
-inline constexpr std::array<std::string_view, absences> absenceNames { "take work", "not listed", "leaving", "silent", "resting", "doubted", "distrusted", "not heard yet" };
+inline constexpr std::size_t availabilityCount = 8;
+inline constexpr std::array<std::string_view, availabilityCount> availabilityNames { "take work", "not listed", "leaving", "silent", "resting", "doubted", "distrusted", "not heard yet" };
 
-inline std::string_view nameOf(Absence absence) { return absenceNames.at(static_cast<std::size_t>(absence)); }
+inline std::string_view nameOf(WorkerAvailability availability) { return availabilityNames.at(static_cast<std::size_t>(availability)); }
 
 // How many workers there are of each.
-struct Attendance {
-    std::array<std::int64_t, absences> counts {};
+struct AvailabilityCounts {
+    std::array<std::int64_t, availabilityCount> counts {};
 
-    void add(Absence absence) { ++this->counts[static_cast<std::size_t>(absence)]; }
+    void add(WorkerAvailability availability) { ++this->counts[static_cast<std::size_t>(availability)]; }
 };
 
 // "1059 take work, 41 silent".
-std::string textOf(const Attendance&);
+std::string textOf(const AvailabilityCounts&);
 
 } // namespace rattan::tasks::detail
