--- a/src/tasks/orders.h
+++ b/src/tasks/orders.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// What a TaskPlanner wants done by those who speak to workers and to the log.
+// Orders of a TaskPlanner, executed by the components that call workers, the advice service and
+// the log.
 
 #include "tasks/advice.h"
 #include "tasks/job.h"
@@ -19,9 +20,9 @@
     std::string address;
     RunRef run;
     std::shared_ptr<const std::string> text;
-    std::string checkpoint; // Empty: from nothing.
-    std::string ticket; // Where the queue's policy wants one.
-    Millis decidedAt { 0 }; // The lease that it grants runs from here, however late it is sent.
+    std::string checkpoint; // The checkpoint to resume from, or empty to start from the beginning.
+    std::string ticket; // The advice service's ticket if the queue has a policy; else empty.
+    Millis decidedAt { 0 }; // The granted lease begins here, even if the order is sent later.
 };
 
 struct StopOrder {
@@ -30,38 +31,39 @@
     RunRef run;
 };
 
-// Asks a worker what runs and has ended there, and renewsLease its lease.
+// Requests a worker's running and ended tasks, and renews its lease.
 struct PollOrder {
     Incarnation worker;
     std::string address;
     std::int64_t acknowledged { 0 }; // Ends up to this number are durable.
-    Millis wait { 0 }; // The answer may wait this long for an end; 0: at once.
-    bool renewsLease { true }; // False: its lease is left as it is.
-    bool concurrent { false }; // Sent while another poll waits at that worker.
+    Millis wait { 0 }; // How long the worker may hold the poll open until a run ends; 0: it answers immediately.
+    bool renewsLease { true }; // If false, the worker's lease is not changed.
+    bool concurrent { false }; // Whether it may be sent while another poll is pending at the worker.
 };
 
-// Asks the advice service which of these workers may run a step.
+// Asks the advice service which of the given workers may run a step.
 struct AdviceOrder {
     StepKey step;
     AdviceTerms terms;
-    std::vector<std::string> workers; // Their ids.
+    std::vector<std::string> workers; // Worker ids.
 };
 
-// Records that have to be durable before the planner goes on. The two kinds may become so
-// in any order: either one alone is enough for a job not to run again after its end.
+// Records that must be durable before the planner sends the starts and acknowledgements that
+// depend on them. Job records and plans may become durable in any order: either alone is enough
+// to prevent a job from running again after its end.
 struct RecordBatch {
     using Records = std::vector<std::pair<std::string, std::string>>; // Key and value; an empty value drops the key.
 
     std::int64_t number { 0 }; // Counts up from 1.
-    Records jobs; // What every instance reads.
-    Records plans; // What whoever takes over reads.
+    Records jobs; // Read by every instance.
+    Records plans; // Read by a planner that takes over.
 };
 
 enum class PlanEventKind {
     UnitPlaced,
-    TasksPlaced, // First runs of tasks of one step, which are not urgent.
+    TasksPlaced, // First runs of tasks of one step that is not urgent, as a count.
     UnitEvicted,
-    UnitsDone, // All that ended well since the last such event.
+    UnitsDone, // The number of units completed since the last such event.
     UnitRetried,
     UnitStalled,
     JobFinished,
@@ -70,20 +72,20 @@
     WorkerLapsed,
     WorkerGone,
     WorkerDistrusted,
-    UnitWaits, // It may stop others, and stops none.
-    GuaranteeWaits, // A unit within its workspace's guarantee has not begun; what it waits for.
-    WorkWaits, // The unit that has waited longest has not begun; why, and what the workers and their polls look like.
-    RunLost, // No end was reported: its worker is gone or has not answered for a whole lease.
+    UnitWaits, // A unit that may evict others evicts none, and why.
+    GuaranteeWaits, // A unit within its workspace's guarantee waits, and for what.
+    WorkWaits, // The unit that has waited longest, why it waits, and the state of the workers and polls.
+    RunLost, // No end was reported: the run's worker is gone or has not answered for a whole lease.
 };
 
-// A decision or a change of what the planner believes, for the log.
+// A decision or a change of the planner's state, for the log.
 struct PlanEvent {
     PlanEventKind kind { PlanEventKind::UnitPlaced };
     std::string job;
     std::string unit; // OCCURRENCE.STEP.INDEX
     std::int64_t run { 0 };
     std::string worker;
-    std::string detail; // What decided it.
+    std::string detail; // The reason, in words.
 };
 
 struct Orders {
--- a/src/tasks/planner_limits.h
+++ b/src/tasks/planner_limits.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Times and bounds of a TaskPlanner.
+// Durations and limits of a TaskPlanner. Durations are in milliseconds.
 
 #include "tasks/job.h"
 
@@ -8,124 +8,130 @@
 
 namespace rattan::tasks::detail {
 
-// Between two runs of a task that failed: a worker that fails at once must not
-// be handed the same task in a tight loop before its trust is gone.
+// The delay between two runs of a task that failed. Without it, a worker that fails
+// immediately would get the same task in a tight loop until it is distrusted.
 inline constexpr Millis retryDelay = 100;
 
-// How long a poll waits for an end: the longest that workers allow, since every
-// poll has a price and an end is told at once anyway.
+// How long a worker may hold a poll open until a run ends. This is the maximum that workers
+// allow: each poll costs processor time, and an end is answered immediately anyway.
 inline constexpr Millis longPollWait = 2000;
 
-// Polls sent before the caller has its turn again: the term has to be renewed while
-// thousands of workers are being asked.
+// The number of polls sent per turn of the caller, which must be able to renew its term while
+// thousands of workers are polled.
 inline constexpr std::size_t maxPollsPerTurn = 48;
 
-// Of workers that nothing waits for, after a takeover; the rest of the processor is left
-// for what runs.
+// The number of polls per idlePollInterval to workers without runs while no unit waits. After a
+// takeover all of them are due; the limit leaves processor time for workers with runs.
 inline constexpr std::size_t maxIdlePollsPerTurn = 8;
 inline constexpr Millis idlePollInterval = 10;
 
-// After a poll without an answer, doubling up to the longest.
+// The delay after an unanswered poll; it doubles up to the maximum.
 inline constexpr Millis minPollBackoff = 200;
 inline constexpr Millis maxPollBackoff = 1600;
 
-// A call without an answer may be carried out this much later. A poll that acknowledged
-// ends of a worker's earlier incarnation could until then acknowledge, unread, ends of the
-// present one: tasks would run again after their end. So nothing is placed there.
+// An unanswered call may still be executed for this long. In that time, a poll that
+// acknowledged ends of a worker's earlier incarnation could acknowledge ends of the current
+// incarnation that were never read, and their tasks would run again. Therefore nothing is
+// placed on such a worker until the time has passed.
 inline constexpr Millis maxCallDelay = 13000;
 
-// A worker's clock may be 2% slow, so a lease may last that much longer than it
-// was granted for, and its clock is known to within this.
+// A worker's clock may be 2% slow, so a lease may last longer than granted by this factor.
+// The offset of the clock is known to within the uncertainty.
 inline constexpr double leaseClockFactor = 1.02;
 inline constexpr Millis clockUncertainty = 300;
 
-// An idle worker's ends may wait this long for a poll that goes there anyway;
-// users see nothing of it, and a poll less is saved nearly every time.
+// How long the acknowledgement of an idle worker's ends may wait for the next poll. Users don't
+// notice the delay, and it nearly always saves a poll.
 inline constexpr Millis maxAckDelay = 1200;
 
-// A stop without effect is sent again after this, and one without an answer after the
-// first pause, doubling up to this.
+// A stop that had no effect is sent again after the interval. An unanswered stop is sent again
+// after the backoff, which doubles up to the interval.
 inline constexpr Millis stopRetryInterval = 700;
 inline constexpr Millis minStopBackoff = 50;
 
-// A start without an answer is sent again: a worker that has the run already says so,
-// and an earlier try that comes late finds the run there, or ended. Otherwise a whole gang
-// would be stopped and begun anew for the lost order of one member.
+// The number of attempts to send a start. Repeating an unanswered start is safe: a worker that
+// already has the run says so, and an earlier attempt that arrives late finds the run there or
+// ended. Without a repeat, the lost start of one member would stop and restart its whole gang.
 inline constexpr int maxStartAttempts = 3;
 
-// A run whose progress stands still for this long, or for this share of its
-// expected time if that is longer, has stalled: progress is told in hundredths,
-// so even one four times slower than expected moves within the share.
+// A run has stalled if its progress does not change for the minimum time and for this fraction
+// of its expected run time. Progress is reported in percent, so even a run that is four times
+// slower than expected progresses within the fraction.
 inline constexpr Millis minStallTime = 3500;
 inline constexpr double stallFraction = 0.06;
 
-// Units that wait for running ones and keep room for when these end. More would
-// leave room idle for work that is far from its turn.
+// The number of waiting units per service that reserve resources of running ones. More
+// reservations would leave resources idle for units that are far back in the queue.
 inline constexpr int maxReservations = 16;
 
-// Searches for runs to stop in one round, each over all workers and what runs
-// there. What is left waits for the next round.
+// The number of eviction searches per round, each over all workers and their runs. The
+// remaining units wait for the next round.
 inline constexpr int maxEvictionSearches = 6;
 
-// Core-seconds that a job outside its guarantee may cost others to start at once.
+// The work in core-seconds that an urgent job outside its workspace's guarantee may make others
+// lose in order to start immediately.
 inline constexpr double maxUrgentLostCoreSeconds = 800;
 
-// A less urgent unit stops still less urgent ones only when it would be late
-// otherwise: this long before its latest start, for what a stop takes,
+// A unit that is not urgent evicts units of lower priority only if it would otherwise be late:
+// from this long before its latest start, to allow for the duration of the stops,
 inline constexpr Millis evictionLeadTime = 6000;
 
-// and for at most this share of the work that it is going to do itself.
+// and for at most this fraction of its own expected work.
 inline constexpr double maxLostWorkFraction = 0.3;
 
-// What a run that goes on until its job is cancelled is expected to take yet: nothing is
-// kept free for its end.
+// The expected remaining time of a run that continues until its job is cancelled, so that no
+// reservation waits for its end.
 inline constexpr Millis longRunningTime = 24L * 3600 * 1000;
 
-// A run that would end this shortly before its worker leaves is moved instead.
+// A run that is expected to end less than this before its worker leaves is moved.
 inline constexpr Millis leaveMargin = 200;
 
-// A suspect task waits this long for a worker of its own, then starts beside others.
+// How long a suspect task waits for a worker without other runs; then it starts on any worker.
 inline constexpr Millis maxIsolationWait = 2000;
 
-// What a run takes of which nothing is known: more than any worker has.
+// The assumed resources of a run whose job is unknown: more than any worker has.
 inline constexpr Room unknownRoom { 1'000'000'000, 1'000'000'000, 1'000'000 };
 
-// An end that nobody waits for may be recorded this much later. Its worker is not
-// polled meanwhile, which delays about one end in twenty by half of this.
+// How long the record of an end that nothing waits for may be delayed. Its worker is not polled
+// in the meantime, which delays about one end in twenty by half of this time.
 inline constexpr Millis maxRecordDelay = 250;
 
-// What was learned is written down with other records, at most this often: a
-// planner that takes over loses a few runs' worth.
+// The minimum interval between records of run times and worker speeds, which are written with
+// other records. A planner that takes over loses what a few runs have shown since the last one.
 inline constexpr Millis learnedRecordInterval = 2000;
 
-// Workers named in one question to an advice service: as many as a wide step needs, and
-// few enough that the answer, which takes time for each, comes within the slack of a job.
+// The number of workers in one request to the advice service: enough for a step with many
+// tasks, and few enough that the answer, whose time grows with each worker, does not make a job
+// late.
 inline constexpr std::size_t maxWorkersPerAdviceRequest = 30;
 
-// Questions without an answer: the service takes them one after the other, so more would
-// only queue there.
+// The number of unanswered advice requests. The service handles them one at a time, so more
+// would only queue there.
 inline constexpr int maxPendingAdviceRequests = 4;
 
-// After a question that failed: the service was not reached, or has too many.
+// The delay after a failed advice request: the service was unreachable or overloaded.
 inline constexpr Millis adviceRetryDelay = 400;
 
-// A ticket must hold until a start that is decided now has arrived, with its record.
+// A ticket must remain valid at least this long, until the start that is decided now has been
+// recorded and has arrived.
 inline constexpr Millis minTicketValidity = 1000;
 
-// Events of one kind between two takes; more are dropped rather than hold up decisions.
+// The number of events of one kind between two calls of takeOrders(). More are dropped because
+// they would delay decisions.
 inline constexpr std::size_t maxEventsPerKind = 200;
 
-// A guaranteed unit that has waited for so long is reported, and again after as long.
+// A guaranteed unit that waits is reported once per interval.
 inline constexpr Millis guaranteeWaitReportInterval = 400;
 
-// The unit that has waited longest is reported once it has waited for so long, this often.
+// The unit that has waited longest is reported after the minimum wait, once per interval.
 inline constexpr Millis minReportedWait = 1500;
 inline constexpr Millis waitReportInterval = 1000;
 
-// A poll that is due for so long is counted there.
+// A poll that has been due for at least this long counts as overdue in that report.
 inline constexpr Millis overduePollThreshold = 500;
 
-// Names of jobs that ended in this term, against late repeats of their records.
+// The number of remembered ids of jobs that ended in this term. They guard against late repeats
+// of records; when the limit is reached, all are dropped.
 inline constexpr std::size_t maxFinishedJobs = 100'000;
 
 } // namespace rattan::tasks::detail
--- a/src/tasks/task_planner.cc
+++ b/src/tasks/task_planner.cc
@@ -1,7 +1,7 @@
-// Jobs and their units: what a job's records, its cancelling and the ends of its runs make
-// of it. The rest stands by subject: task_planner_workers.cc (what runs there),
-// _incarnations.cc (workers that started again), _crashes.cc (tasks to blame for that),
-// _polls.cc, _rounds.cc (what runs where), _evictions.cc, _orders.cc, _reports.cc and
+// The life cycle of jobs and their units: takeover from records, begin, completion, failure and
+// cancellation. The other subjects are in task_planner_workers.cc (reports of workers and
+// leases), _incarnations.cc (restarted workers), _crashes.cc (tasks that crash workers),
+// _polls.cc, _rounds.cc (placement), _evictions.cc, _advice.cc, _orders.cc, _reports.cc and
 // _violations.cc.
 
 #include "tasks/task_planner.h"
@@ -53,7 +53,8 @@
     active.started = plan.started;
     active.occurrencesDone = plan.occurrencesDone;
     active.nextOccurrence = active.occurrencesDone;
-    // Its end is in the plan, and the earlier planner was gone before callers could be told.
+    // The plan holds the job's end, but the previous planner died before it recorded the final
+    // state for callers.
     if (isFinal(plan.state)) {
         this->markDirty(job.id);
         this->requestImmediateRecord();
@@ -77,7 +78,7 @@
         const std::vector<StepState>& steps = active.occurrences.at(number).steps;
         if (!std::all_of(steps.begin(), steps.end(), [](const StepState& step) { return step.done; }))
             continue;
-        active.occurrences.erase(number); // No end of a unit will tell that it is over.
+        active.occurrences.erase(number); // It has no unit left whose end would complete it.
         active.doneOutOfOrder.insert(number);
     }
     for (const UnitProgress& progress : plan.units) {
@@ -93,7 +94,7 @@
         if (progress.state == UnitState::Running)
             this->adoptRun(*unit, progress, now);
         else if (unit->crashes.isExhausted(unit->run))
-            this->exhaustedUnits.insert(unit->key); // The earlier planner died before it gave the job up.
+            this->exhaustedUnits.insert(unit->key); // The previous planner died before it failed the job.
     }
 }
 
@@ -115,11 +116,12 @@
             worker.seen.incarnation = incarnation;
             worker.listed = false;
         }
-        // Where records tell of two incarnations, runs of both are kept until a poll shows
-        // which are there: a start for the earlier may have reached the later.
+        // If records name two incarnations, the runs of both are kept until a poll shows which
+        // of them exist: a start for the earlier incarnation may have reached the later one.
         worker.seen.incarnation.born = std::max(worker.seen.incarnation.born, incarnation.born);
-        // The earlier planner may not know yet that it is followed, and renew leases at workers
-        // that this one does not reach. Counted shorter, their tasks would run twice at a time.
+        // The previous planner may not have noticed yet that it was replaced, and may renew leases
+        // at workers that this planner cannot reach. If that time were not counted, their tasks
+        // could run twice at the same time.
         this->grantLease(worker, now + this->options.predecessorGrace);
         PlacedRun placedRun { .run = { unit.task(static_cast<std::int64_t>(member)), unit.run }, .unit = unit.key };
         placedRun.inherited = true;
@@ -187,7 +189,7 @@
             ++state.left;
             this->addUnit(active, { active.job->id, number, stepIndex, index }, now);
         }
-        // All of it was done under an earlier planner; later steps may follow.
+        // An earlier planner completed all units of the step; later steps may begin.
         state.done = state.left == 0;
     }
 }
@@ -258,7 +260,8 @@
         this->finishJob(doneUnit.job, JobState::Completed, "", now);
 }
 
-// From runs that went from nothing to their end before this planner's eyes.
+// Learns only from runs that this planner observed from the beginning to the end: not from
+// resumed or adopted runs, nor from runs placed away from their preferred racks.
 void TaskPlanner::learnRunTime(const Unit& unit, Millis now)
 {
     if (unit.startedAt == 0 || unit.progressAtStart > 0 || unit.adopted || unit.placedFar || unit.step().longRunning)
@@ -295,9 +298,8 @@
         this->exhaustedUnits.insert(unit.key);
 }
 
-// Counted by the number of the run, whether or not anybody still waits for it: an
-// end may be told long after its run was given up as lost, or a second time to a
-// planner that has taken over.
+// Counts each run number once, also for runs that are no longer current: an end may be reported
+// long after its run was considered lost, or a second time to a planner that has taken over.
 void TaskPlanner::countFailedRun(const RunRef& run, Millis now)
 {
     Unit* unit = this->find(this->unitOf(run.task));
@@ -323,7 +325,7 @@
     this->pacer.changed();
 }
 
-// The id must not be part of a unit, which would go with it.
+// The id must not refer to a string inside a unit, since the units are destroyed here.
 void TaskPlanner::dropUnits(const std::string& id, Millis now)
 {
     auto next = this->units.lower_bound({ id, 0, 0, wholeGang });
@@ -336,7 +338,7 @@
     }
 }
 
-// Stops the present run of a unit, which nobody waits for any more.
+// Stops the current run of a unit; its result is ignored.
 void TaskPlanner::abandonRun(const Unit& unit, Millis now)
 {
     for (std::size_t member = 0; member < unit.workers.size(); ++member) {
@@ -366,8 +368,8 @@
     return { task.job, task.occurrence, task.step, gang ? wholeGang : task.index };
 }
 
-// Of a task that no record tells of, all that can be said is that it takes
-// something; its worker then gets nothing new until the run has been stopped.
+// The resources that a task takes. For a task without a record they are unknown, and larger
+// than any worker, so that nothing is placed on its worker until the run has been stopped.
 Room TaskPlanner::roomOf(const TaskRef& task) const
 {
     const auto active = this->jobs.find(task.job);
--- a/src/tasks/task_planner.h
+++ b/src/tasks/task_planner.h
@@ -1,31 +1,32 @@
 #pragma once
 
-// Decides which task runs where and when, for one term, without a clock, I/O or
-// threads.
+// Decides which task runs on which worker and when, for one term of a planner. It has no
+// clock, no I/O and no threads: the caller passes the time, reports results and executes
+// the orders.
 //
-//     TaskPlanner planner({ .maxLease = 10000 }, jobs, now, wall);
+//     TaskPlanner planner({ .maxLease = 10000 }, jobs, plans, now, wall);
 //     planner.applyCatalog(catalog);
-//     planner.workersListed(sightings, now);             // the list of workers, whenever read
-//     planner.jobAccepted(job, now);                   // from the log, as are cancels
-//     planner.pollAnswered(worker, sentAt, poll, now); // and other answers
+//     planner.workersListed(sightings, now);                       // whenever the list is read
+//     planner.jobAccepted(job, now, wall);                         // from the log, as are cancels
+//     planner.pollAnswered(worker, sentAt, concurrent, poll, now); // and other answers
 //     planner.step(now, wall);
-//     Orders orders = planner.takeOrders(now);               // to be carried out in any order
+//     Orders orders = planner.takeOrders(now);                     // executed in any order
 //
-// What makes it safe:
-//  * A run is recorded, with its workers, before its first start is sent. So
-//    whoever takes over knows of every run that can exist.
-//  * Nothing is believed of a worker before it has answered a poll with this
-//    term: from then on it refuses orders of earlier terms.
-//  * A start without an answer keeps its room and its task until a poll shows the
-//    run, or shows that a stop came first, or every lease there is over.
-//  * A worker that crashes under a task is recorded with the task before it starts again.
-//    After a few such crashes its job is given up, whoever plans by then.
-//  * Ends are acknowledged to workers, and jobs shown as over, only when the
-//    record that says so is durable.
+// Safety properties:
+//  * A run is recorded, with its workers, before its first start is sent, so a planner that
+//    takes over knows every run that can exist.
+//  * A worker's state is unknown until it has answered a poll of this term; from then on it
+//    refuses orders of earlier terms.
+//  * An unanswered start keeps its resources and its task reserved until a poll lists the
+//    run, or shows that a stop arrived first, or every lease on the worker has expired.
+//  * A worker crash under a task is recorded with the task before the task starts again.
+//    After a few crashes the job fails, also across takeovers.
+//  * Ends of runs are acknowledged to workers, and jobs are shown as final, only when the
+//    record of it is durable.
 //
-// The caller must stop carrying out orders when its term is over. Every answer
-// must be told exactly once; polls, starts and stops have no other limit than
-// the caller's timeout. Not thread-safe.
+// The caller must stop executing orders when its term is over. It must report every answer
+// exactly once; polls, starts and stops have no other time limit than the caller's timeout.
+// All times are in milliseconds. Not thread-safe.
 
 #include "tasks/advice.h"
 #include "tasks/candidate.h"
@@ -49,25 +50,27 @@
 namespace rattan::tasks {
 
 struct PlannerOptions {
-    Millis maxLease { 10000 }; // Granted with each poll and start.
-    Millis predecessorGrace { 1000 }; // An earlier planner, taken as gone, may go on granting leases for this long.
-    Millis stopTimeout { 200 }; // Longest time that a stop takes at a worker.
-    bool hasAdviceService { false }; // There is an advice service to request; else no queue's policy is heeded.
+    Millis maxLease { 10000 }; // The duration of the lease that each poll and start grants.
+    Millis predecessorGrace { 1000 }; // How long the previous planner may continue to grant leases after this one has started.
+    Millis stopTimeout { 200 }; // The maximum time a worker takes to stop a run.
+    bool hasAdviceService { false }; // Whether an advice service can be queried; otherwise placement policies of queues are ignored.
 };
 
 class TaskPlanner {
 public:
-    // Takes over every job of the table that is not over, from where the earlier planner's
-    // records leave it. The table is looked at later on too.
+    // Takes over every job of the table that is not final, in the state that the previous
+    // planner's records show. The job table must outlive the planner, which reads it later too.
     TaskPlanner(PlannerOptions, const JobTable&, const PlanTable&, Millis now, Millis wall);
 
     void applyCatalog(std::shared_ptr<const Catalog>);
     void jobAccepted(const std::shared_ptr<const Job>&, Millis now, Millis wall);
     void jobCancelled(const std::string& id, Millis now);
 
-    // All workers that the list holds at present.
+    // Reports the complete current list of workers.
     void workersListed(const std::vector<WorkerSighting>&, Millis now);
 
+    // Report the results of orders. `concurrent` is the value in the poll's order; `accepted` tells
+    // whether the worker answered the stop.
     void pollAnswered(const Incarnation&, Millis sentAt, bool concurrent, const WorkerReport&, Millis now);
     void pollFailed(const Incarnation&, bool concurrent, WorkerFault, Millis now);
     void startAnswered(const Incarnation&, const RunRef&, StartAnswer, Millis now);
@@ -76,43 +79,45 @@
     void adviceFailed(const StepKey&, Millis now);
     void batchRecorded(std::int64_t batch, Millis now);
 
-    // Drops the records of jobs that are over and need not be told of any more.
+    // Deletes the records of jobs that are final and need not be reported to callers any longer.
     void forgetJobs(const std::vector<std::string>& ids);
 
     void step(Millis now, Millis wall);
     Orders takeOrders(Millis now);
 
-    // The last step() took so long, by the caller's clock.
+    // Reports how long the last step() took, by the caller's clock.
     void reportStepDuration(Millis duration, Millis now) { this->pacer.took(this->round.kind, duration, now); }
 
-    // What the last step() decided; for the log of one that took long.
+    // Counts of the last step(), for the log event of a slow one.
     struct Round {
         RoundKind kind { RoundKind::None };
-        std::int64_t candidates { 0 }; // Units that waited.
+        std::int64_t candidates { 0 }; // Waiting units.
         std::int64_t placed { 0 };
-        std::int64_t searches { 0 }; // For room that is there, or will be after stops.
+        std::int64_t searches { 0 }; // For resources that are free now or after pending stops.
         std::int64_t evictionSearches { 0 };
         std::int64_t reservations { 0 };
     };
     const Round& lastRound() const { return this->round; }
 
-    // Polls that were due at the last take(), beyond those that are sent at once. The caller
-    // takes them between its turns, which would be too rare for a thousand workers.
+    // Whether polls that were due at the last takeOrders() exceeded the number sent at once. The
+    // caller fetches them with takeDuePolls() between its turns, which are too rare to poll a
+    // thousand workers.
     bool hasDuePolls() const { return !this->duePolls.empty(); }
     Orders takeDuePolls(Millis now);
 
-    // A worker has heard of a higher term: stop.
+    // Whether a worker has seen a higher term. The caller must then stop this planner.
     bool deposed() const { return this->isDeposed; }
 
-    // When step() wants to be called although nothing happens.
+    // The time at which step() must be called even if nothing is reported until then.
     Millis nextWake(Millis now, Millis wall) const;
 
-    // Runs on workers, and units that wait.
+    // The number of runs on workers, of units that wait, and of workers that have answered a
+    // poll of this term.
     std::size_t runCount() const;
     std::size_t waitingUnitCount() const { return this->waitingUnits.size(); }
     std::size_t knownWorkerCount() const;
 
-    // Breaks of what must always hold, in words; empty when all is well. For tests.
+    // Descriptions of violated invariants; empty if all hold. For tests.
     std::vector<std::string> violations() const;
 
 private:
@@ -161,12 +166,12 @@
     void grantLease(Worker&, Millis now) const;
     void markSilent(Worker&, Millis now);
     bool isInDoubtedDomain(const Worker&, Millis now) const;
-    Worker* find(const Incarnation&); // By its id: a run that is looked for may be in a later incarnation.
+    Worker* find(const Incarnation&); // By id only: the run may be in a later incarnation.
     Unit* find(const UnitKey&);
     Room roomOf(const TaskRef&) const;
     UnitKey unitOf(const TaskRef&) const;
 
-    // Runs lost with their workers, and tasks that may be the cause.
+    // Runs that were lost with their workers, and tasks suspected of crashing workers.
     void loseRun(Worker&, const RunRef&, RunLoss, Millis now);
     void countCrash(const Worker&, const PlacedRun&, RunLoss);
     void addCrash(const PlacedRun&, CrashEvidence);
@@ -179,7 +184,7 @@
     bool isSurvivalCheckDue(const PlacedRun&, Millis now) const;
     Millis nextSurvivalCheck(Millis now) const;
 
-    // Decisions of a round.
+    // Leases, stalls, and the placement decisions of a round.
     void expireLeases(Millis now);
     void stopStalledUnits(Millis now);
     Worker* slowestWorker(const Unit&);
@@ -204,7 +209,7 @@
     Allocation allocationOf(const PlacedRun&, Millis now) const;
     double maxLostWork(const Unit&) const;
 
-    // Advice on where a step may run.
+    // Advice on which workers may run a step.
     std::set<std::string> allowedWorkers(const StepAdvice&, const Snapshot&, Millis now) const;
     std::vector<detail::Askable> adviceCandidates(const StepAdvice&, const Snapshot&, const PlacementRequest&, Millis now) const;
     bool claimAdviceTurn(StepAdvice&);
@@ -212,9 +217,9 @@
     const std::string* ticketFor(const UnitKey&, const Incarnation&, Millis now) const;
     void forgetAdvice(const std::string& job);
 
-    // Records.
+    // Records, orders and events.
     void markDirty(const std::string& job) { this->dirtyJobs.insert(job); }
-    void requestImmediateRecord() { this->recordDueAt = 0; } // Somebody waits for the next record.
+    void requestImmediateRecord() { this->recordDueAt = 0; } // Another component waits for the record.
     bool isRecordDue(Millis now);
     Progress progressOf(const ActiveJob&) const;
     void makeBatch(Millis now, Orders&);
@@ -241,7 +246,7 @@
     std::string pendingStopsText(Millis now) const;
     void reportRoutineCounts();
 
-    // Parts of violations().
+    // Checks of violations().
     void checkWorkers(std::vector<std::string>&) const;
     void checkUnits(std::vector<std::string>&) const;
     std::int64_t membersPlaced(const Unit&) const;
@@ -249,58 +254,58 @@
     static std::string stepViolation(const ActiveJob&, const Occurrence&, std::size_t step, const std::vector<std::int64_t>& left);
 
     const PlannerOptions options;
-    const Millis termStartedAt; // The term.
+    const Millis termStartedAt;
     const JobTable& jobTable;
     std::shared_ptr<const Catalog> catalog;
     std::map<std::string, ActiveJob> jobs;
-    std::map<UnitKey, Unit> units; // Of jobs that are not over.
+    std::map<UnitKey, Unit> units; // Of jobs that are not final.
     std::set<UnitKey> waitingUnits;
-    std::set<UnitKey> urgentWaitingUnits; // Of these, those of the highest priority.
-    std::set<UnitKey> exhaustedUnits; // To be given up with their jobs.
-    std::set<UnitKey> isolatedUnits; // Suspect, and running where nothing else does.
-    std::map<std::string, Worker> workers; // By id; the newest incarnation.
+    std::set<UnitKey> urgentWaitingUnits; // The waiting units of the highest priority.
+    std::set<UnitKey> exhaustedUnits; // Units with too many crashes; their jobs fail at the next step.
+    std::set<UnitKey> isolatedUnits; // Suspect units that run on workers of their own.
+    std::map<std::string, Worker> workers; // By worker id; the newest incarnation of each.
     DomainDoubts domainDoubts;
     RunTimes runTimes;
     WorkerSpeeds workerSpeeds;
-    Millis lastWaitReportAt { 0 }; // When the log last reported what the oldest unit waits for.
-    Millis lastLearnedRecordAt { 0 }; // When what was learned was last written down.
-    std::set<std::string> finishedJobs; // Over in this term; a late repeat changes nothing.
+    Millis lastWaitReportAt { 0 }; // When the wait of the oldest unit was last reported.
+    Millis lastLearnedRecordAt { 0 }; // When run times and worker speeds were last recorded.
+    std::set<std::string> finishedJobs; // Jobs that ended in this term; a late repeat of their records is ignored.
 
     std::vector<std::string> jobsToForget;
-    std::vector<std::string> obsoletePlans; // Of jobs whose end is recorded; their plans are not needed any more.
+    std::vector<std::string> obsoletePlans; // Ids of jobs whose end is recorded, so that their plans can be deleted.
     std::vector<std::string> jobsEndedInBatch;
-    std::set<std::string> dirtyJobs; // Jobs whose record is behind.
-    Millis recordDueAt { noRecord }; // When what is dirty has to be recorded.
+    std::set<std::string> dirtyJobs; // Jobs whose records are out of date.
+    Millis recordDueAt { noRecord }; // When the dirty jobs must be recorded.
     static constexpr Millis noRecord = std::numeric_limits<Millis>::max();
-    std::vector<std::pair<std::string, RunRef>> startsToRecord; // Worker and run.
+    std::vector<std::pair<std::string, RunRef>> startsToRecord; // Worker id and run.
     std::int64_t batchNumber { 0 };
     bool isBatchPending { false };
     Millis batchCreatedAt { 0 };
     std::vector<std::pair<std::string, RunRef>> startsInBatch;
     std::map<Incarnation, std::int64_t> endsInBatch;
     std::vector<StartOrder> startOrders;
-    std::map<StepKey, StepAdvice> adviceByStep; // Of steps whose queue has a policy.
+    std::map<StepKey, StepAdvice> adviceByStep; // For steps whose queue has a policy.
     std::vector<AdviceOrder> adviceOrders;
     int pendingAdviceRequests { 0 };
-    std::int64_t advicePass { 1 }; // Each step has its question once in a pass.
-    bool hasDeferredAdvice { false }; // A step had none in this round.
+    std::int64_t advicePass { 1 }; // Each step sends at most one advice request per pass.
+    bool hasDeferredAdvice { false }; // Whether a step of this round could not send its advice request.
     std::vector<PlanEvent> events;
-    std::map<PlanEventKind, std::size_t> eventCounts; // In `events`.
-    std::int64_t completedUnitCount { 0 }; // Since the last such event.
-    std::map<StepKey, std::int64_t> placedTaskCounts; // Likewise.
+    std::map<PlanEventKind, std::size_t> eventCounts; // Of the events since the last takeOrders(), including dropped ones.
+    std::int64_t completedUnitCount { 0 }; // Since the last UnitsDone event.
+    std::map<StepKey, std::int64_t> placedTaskCounts; // Since the last TasksPlaced events.
     bool isDeposed { false };
     struct DuePoll {
-        Millis sortTime { 0 }; // The lowest goes first.
-        std::string worker; // Its id.
+        Millis sortTime { 0 }; // The lowest is polled first.
+        std::string worker; // The worker's id.
         bool concurrent { false };
     };
-    std::vector<DuePoll> duePolls; // More than were sent at once; the next one is the last.
-    Millis nextIdlePollsAt { 0 }; // None at idle workers before then, unless something waits for room.
+    std::vector<DuePoll> duePolls; // Due polls that were not sent yet; the next one is at the back.
+    Millis nextIdlePollsAt { 0 }; // Idle workers are not polled before then unless a unit waits.
     struct DecayingDemand {
         double accelerators { 0 };
         Millis at { 0 };
     };
-    std::map<std::string, DecayingDemand> recentUrgentDemand; // By service; the highest of late.
+    std::map<std::string, DecayingDemand> recentUrgentDemand; // By service; the decaying maximum.
     Round round;
     RoundPacer pacer;
 };
--- a/src/tasks/task_planner_advice.cc
+++ b/src/tasks/task_planner_advice.cc
@@ -1,7 +1,7 @@
-// Queues whose policy lies outside: which workers may run a step has to be asked, and
-// each start there carries a ticket. A question takes the service time for every worker
-// named, and it answers one at a time. So the workers that could take the step at once are
-// asked first, a few dozen at a time, and no more once the step has a place.
+// Queues with an external policy: an advice service decides which workers may run a step, and
+// each start on them carries a ticket. The service handles one request at a time, and its time
+// grows with each worker in the request. So requests name a few dozen workers, first those that
+// could run the step immediately, and end once the step is placed.
 
 #include "tasks/planner_limits.h"
 #include "tasks/task_planner.h"
@@ -34,7 +34,7 @@
     return allowed;
 }
 
-// Workers that could take a member and of which it is not known whether they may.
+// Workers that could run a member and for which no valid verdict is known.
 std::vector<Askable> TaskPlanner::adviceCandidates(const StepAdvice& stepAdvice, const Snapshot& snapshot, const PlacementRequest& request, Millis now) const
 {
     std::vector<Askable> candidates;
@@ -49,9 +49,10 @@
     return candidates;
 }
 
-// Tickets run out, so a step whose workers are busy asks again and again; a few of those
-// would take all questions, and steps after them would never have one. So who has asked lets
-// all others go first. Rounds of urgent units come between and need not wait.
+// Whether the step may send a request now; if so, counts it as sent in this pass. Tickets expire,
+// so a step whose workers are busy requests advice repeatedly, and a few such steps would use all
+// requests and starve the steps after them. Therefore each step sends at most one request per
+// pass over all steps. Rounds of urgent units are exempt.
 bool TaskPlanner::claimAdviceTurn(StepAdvice& stepAdvice)
 {
     const bool isWholeRound = this->round.kind == RoundKind::Whole;
@@ -66,8 +67,8 @@
     return true;
 }
 
-// Whether the unit can be placed, or waited for, on the workers that `request.allowed`
-// holds; else the advice service is asked about others.
+// Returns whether the unit can be placed on, or can wait for, the workers in `request.allowed`.
+// Otherwise requests advice on further workers, if a request can be sent now.
 bool TaskPlanner::resolveAdvice(const Unit& unit, const Snapshot& snapshot, PlacementRequest& request, Millis now)
 {
     StepAdvice& stepAdvice = this->adviceByStep[stepOf(unit.key)];
@@ -75,11 +76,11 @@
         return true;
     std::vector<Askable> candidates = this->adviceCandidates(stepAdvice, snapshot, request, now);
     if (candidates.empty() && stepAdvice.underWay.empty() && !snapshot.couldEverFit(request)) {
-        request.avoid = nullptr; // Its policy leaves no others.
+        request.avoid = nullptr; // The policy allows too few other workers.
         candidates = this->adviceCandidates(stepAdvice, snapshot, request, now);
     }
     if (!request.rack.empty() && std::none_of(candidates.begin(), candidates.end(), [](const Askable& candidate) { return candidate.near; }) && !snapshot.couldEverFit(request))
-        request.rack.clear(); // None of its rack may run it.
+        request.rack.clear(); // No worker of the rack is allowed.
     if (snapshot.findFree(request))
         return true;
     if (candidates.empty())
@@ -104,7 +105,7 @@
     const auto found = this->adviceByStep.find(step);
     const auto job = this->jobs.find(step.job);
     if (found == this->adviceByStep.end() || job == this->jobs.end())
-        return; // The job is over.
+        return; // The job is final.
     StepAdvice& stepAdvice = found->second;
     for (const Incarnation& incarnation : stepAdvice.underWay) {
         const auto row = std::find_if(allowed.begin(), allowed.end(), [&](const AllowedWorker& worker) { return worker.id == incarnation.id; });
--- a/src/tasks/task_planner_crashes.cc
+++ b/src/tasks/task_planner_crashes.cc
@@ -1,6 +1,6 @@
-// Runs that are lost with their workers, and tasks that may be the cause: what is counted
-// of them, when a job is given up, and how a suspect task is kept apart until it is seen
-// to have survived its start.
+// Runs that are lost with their workers, and tasks that may be the cause: which crashes are
+// counted, when a job fails because of them, and how a suspect task is isolated until it has
+// survived its start.
 
 #include "tasks/planner_limits.h"
 #include "tasks/task_planner.h"
@@ -22,8 +22,8 @@
 
 std::string_view detail::nameOf(RunLoss loss) { return lossNames.at(static_cast<std::size_t>(loss)); }
 
-// A run of which nothing more will be heard: the log has to tell a crash under a task from
-// an eviction, and what ran beside it.
+// Removes a run whose end will not be reported. The event lets the log distinguish a crash under
+// a task from an eviction, and shows how many runs the worker had.
 void TaskPlanner::loseRun(Worker& worker, const RunRef& ref, RunLoss loss, Millis now)
 {
     const RunRef run = ref;
@@ -37,8 +37,10 @@
     this->removeMember(worker, run, loss == RunLoss::LeaseOver ? std::optional(RunEnd::Lapsed) : std::nullopt, "", now);
 }
 
-// A run whose stop its worker had taken may have ended by it, unread. A worker that was leaving has left. One whose lease is over may be cut off; only if it is
-// not listed any more may it have crashed.
+// Counts a crash unless there is a better explanation: a leaving worker has left, and a worker
+// whose lease has expired may be cut off; it may have crashed only if it is not listed any more.
+// A run whose stop was answered may have been stopped without its end being read, so the
+// evidence is unproven.
 void TaskPlanner::countCrash(const Worker& worker, const PlacedRun& placedRun, RunLoss loss)
 {
     if (worker.seen.leaving || placedRun.phase == RunPhase::Recording || (loss == RunLoss::LeaseOver && worker.listed))
@@ -66,7 +68,7 @@
         this->exhaustedUnits.insert(unit->key);
 }
 
-// Of a task that lasts, crashes before it served say nothing of those after.
+// For a long-running task, crashes before a successful start say nothing about later ones.
 void TaskPlanner::clearSuspicion(Unit& unit)
 {
     this->isolatedUnits.erase(unit.key);
@@ -85,8 +87,8 @@
     }
 }
 
-// Once a worker has crashed under a unit, a planner that takes over has to know whether
-// the next one did as well, or was never reached.
+// After a crash under the unit, the confirmed start is recorded: a planner that takes over must
+// know whether the start reached the next worker, in order to count a crash there.
 void TaskPlanner::confirmStart(PlacedRun& placedRun, Millis now)
 {
     placedRun.phase = RunPhase::Running;
@@ -108,8 +110,8 @@
     return true;
 }
 
-// The workers that suspect tasks of a job have to themselves. One job's are tried together,
-// so that it costs one worker at a time whichever of them is to blame.
+// The workers on which only suspect tasks of the job run. They are tested together there, so
+// that a crash costs only one worker, whichever of the tasks causes it.
 std::set<std::string> TaskPlanner::isolatedWorkersOf(const std::string& job) const
 {
     std::set<std::string> ids;
@@ -120,7 +122,8 @@
     return ids;
 }
 
-// A suspect task keeps a worker to itself until it is seen to have survived its start.
+// Whether a poll must check if an isolated run has survived its start, which would end its
+// isolation.
 bool TaskPlanner::isSurvivalCheckDue(const PlacedRun& placedRun, Millis now) const
 {
     return placedRun.phase == RunPhase::Running && !placedRun.isProven() && now >= placedRun.confirmedAt + provenAfter && this->isolatedUnits.contains(placedRun.unit);
--- a/src/tasks/task_planner_evictions.cc
+++ b/src/tasks/task_planner_evictions.cc
@@ -1,4 +1,4 @@
-// Which runs a unit may stop to get room, and what they lose.
+// Eviction: which units a unit may stop to free resources, and how much work they lose.
 
 #include "tasks/eviction.h"
 #include "tasks/planner_limits.h"
@@ -10,8 +10,8 @@
 
 using namespace detail;
 
-// What would have to be done again, in core-seconds. A run that saves its
-// progress does so when it is stopped, and loses next to nothing.
+// The work in core-seconds that would have to be repeated if the unit were stopped. A run that
+// saves its progress does so when it is stopped, and loses almost nothing.
 double TaskPlanner::lostWorkOf(const Unit& unit, Millis now) const
 {
     constexpr double restartSeconds = 0.3;
@@ -22,16 +22,16 @@
     return weight * (unit.step().savesProgress ? restartSeconds : ran + restartSeconds);
 }
 
-// As a choice of whom to stop counts it: else the same unit, begun anew each time, would
-// always be the cheapest.
+// The lost work, weighted by the number of earlier evictions. Without the weight, a unit that has
+// just restarted would always be the cheapest and would be evicted again.
 double TaskPlanner::evictionCost(const Unit& unit, Millis now) const
 {
     const double lost = this->lostWorkOf(unit, now);
     return unit.step().savesProgress ? lost : lost * static_cast<double>(1 + unit.evictions);
 }
 
-// Core-seconds of others' work that may be thrown away so that a unit which is
-// not guaranteed begins now.
+// The work in core-seconds that others may lose so that a unit which is not guaranteed can start
+// now.
 double TaskPlanner::maxLostWork(const Unit& unit) const
 {
     if (unit.job->terms.priority == 0)
@@ -77,7 +77,8 @@
     return true;
 }
 
-// An urgent unit that waits is the first thing asked about afterwards.
+// Reports why a unit that may evict others evicted none, once per reason. Why an urgent unit
+// waited is the first question of an investigation.
 void TaskPlanner::reportEvictionRefusal(Unit& unit, EvictionRefusal refusal, double cost, double bound)
 {
     if (unit.refusal == refusal)
--- a/src/tasks/task_planner_incarnations.cc
+++ b/src/tasks/task_planner_incarnations.cc
@@ -1,5 +1,5 @@
-// Workers that have started again: which runs are lost with the earlier incarnation, and which
-// starts may still reach the present one.
+// Restarted workers: which runs were lost with the earlier incarnation, and which starts may
+// still reach the current one.
 
 #include "tasks/planner_limits.h"
 #include "tasks/task_planner.h"
@@ -10,7 +10,8 @@
 
 using namespace detail;
 
-// After a restart a worker runs nothing and knows nothing of before.
+// All runs on the worker are lost: another incarnation is in its place, which has no runs of the
+// earlier one.
 void TaskPlanner::loseIncarnation(Worker& worker, Millis now, const char* reason)
 {
     this->emit(PlanEventKind::WorkerGone, {}, 0, worker.seen.incarnation.id, reason);
@@ -26,14 +27,15 @@
     this->pacer.changed();
 }
 
-// The worker has started again and knows nothing of before. Runs that it lists
-// are of its present incarnation; a start without an answer may still arrive there.
+// The worker has restarted and keeps no state of its earlier incarnation. Runs that it lists
+// belong to the current incarnation; an unanswered start may still arrive there.
 void TaskPlanner::changeIncarnation(Worker& worker, const WorkerReport& report, Millis sentAt, bool concurrent, Millis now)
 {
     this->emit(PlanEventKind::WorkerGone, {}, 0, worker.seen.incarnation.id, "a later incarnation answers");
     const Incarnation earlier = worker.seen.incarnation;
     worker.seen.incarnation.born = report.born;
-    // Another poll showed it, so the one that acknowledges ends may still be on its way.
+    // The restart was shown by a concurrent poll, so a pending poll that acknowledges ends may
+    // still arrive at the current incarnation.
     if (concurrent && worker.pollUnderWay && worker.ackUnderWay > 0)
         worker.ackLostAt = now;
     if (worker.ackLostAt > 0)
@@ -50,7 +52,7 @@
     std::vector<RunRef> lost;
     std::vector<PlacedRun> unconfirmed;
     for (auto& [run, placedRun] : worker.placedRuns) {
-        // One that was confirmed after the poll was sent may be of this incarnation.
+        // A run that was confirmed after the poll was sent may belong to the current incarnation.
         const bool couldBePresent = placedRun.phase == RunPhase::Running && placedRun.confirmedAt >= sentAt;
         if (placedRun.phase == RunPhase::Recording || listed.contains(run) || couldBePresent)
             continue;
@@ -65,7 +67,8 @@
         }
     }
     this->stopLateStarts(worker, now);
-    // They may have begun and been lost; one that turns up after all is not counted.
+    // The unconfirmed runs may have started and been lost in a crash. The crash is retracted for a
+    // run that is listed later.
     for (const PlacedRun& placedRun : unconfirmed)
         this->countCrash(worker, placedRun, RunLoss::WorkerRestarted);
     for (const RunRef& run : lost)
@@ -94,15 +97,17 @@
     return found != worker.lostStarts.end() && now < found->second + maxCallDelay;
 }
 
-// Calls that got no answer, which a later incarnation would take for its own.
+// Whether unanswered calls may still be executed by a later incarnation, which cannot tell that
+// they were meant for an earlier one.
 bool TaskPlanner::canReceiveLateCalls(const Worker& worker, Millis now)
 {
     const bool canReceiveLateAck = worker.ackLostAt > 0 && now < worker.ackLostAt + maxCallDelay;
     return canReceiveLateAck || std::any_of(worker.lostStarts.begin(), worker.lostStarts.end(), [now](const auto& row) { return now < row.second + maxCallDelay; });
 }
 
-// A later incarnation knows of no run that ended before. Of one whose start had no answer it
-// would take that start for a new one, and the task would run there beside its next run.
+// Stops runs whose unanswered start may still arrive. A later incarnation does not know which
+// runs have ended, so it would execute such a start, and the task would run twice at the same
+// time.
 void TaskPlanner::stopLateStarts(Worker& worker, Millis now)
 {
     for (const auto& [run, lostAt] : worker.lostStarts) {
--- a/src/tasks/task_planner_orders.cc
+++ b/src/tasks/task_planner_orders.cc
@@ -1,4 +1,4 @@
-// Orders: what has to be recorded first, and which calls to workers are due.
+// Orders: records that must be durable first, and the starts and stops that are due.
 
 #include "tasks/learned.h"
 #include "tasks/planner_limits.h"
@@ -21,7 +21,8 @@
         for (const auto& [step, index] : occurrence.doneUnits)
             progress.units.push_back({ .occurrence = number, .step = step, .index = index, .state = UnitState::Done });
     }
-    // Occurrences that ended before earlier ones have no state left but their units.
+    // Only the numbers of occurrences that ended out of order are kept; their units are listed
+    // again from the steps.
     for (const std::int64_t number : active.doneOutOfOrder) {
         for (std::size_t step = 0; step < active.job->steps.size(); ++step) {
             const Step& stepSpec = active.job->steps[step];
@@ -47,9 +48,8 @@
     return progress;
 }
 
-// Starts and final states are waited for and recorded at once. An end that only
-// brings a job further is not; a few of them share a record, which every
-// instance has to read.
+// Starts and final states are recorded immediately because other components wait for them. An
+// end after which its job continues can wait, so that several ends share one record.
 bool TaskPlanner::isRecordDue(Millis now)
 {
     if (!this->jobsToForget.empty())
@@ -82,7 +82,7 @@
     if (!this->isRecordDue(now))
         return;
     if (this->dirtyJobs.empty() && this->jobsToForget.empty()) {
-        // Ends that changed nothing are as durable as they will ever be.
+        // Ends that changed no job need no record and can be acknowledged.
         for (const auto& [incarnation, number] : this->endsInBatch) {
             if (Worker* worker = this->find(incarnation); worker && worker->seen.incarnation == incarnation)
                 worker->durable = number;
@@ -128,9 +128,9 @@
     this->jobs.erase(found);
 }
 
-// A plan goes only once the end of its job is recorded where every instance reads it:
-// without either the job would begin again. Of what is forgotten the job's own record goes
-// last: it alone tells that there was a job.
+// A plan is deleted only after the end of its job is durable in the records that every instance
+// reads: without both, the job would begin again. The job record itself is deleted last, since
+// only it shows that the job existed.
 void TaskPlanner::recordDeletions(RecordBatch& batch)
 {
     for (const std::string& id : this->obsoletePlans)
@@ -143,7 +143,8 @@
     this->jobsToForget.clear();
 }
 
-// The capacity may have shrunk since the run was placed: a record can take seconds.
+// Whether the worker's runs fit its capacity, which may have shrunk since they were placed: a
+// record can take seconds.
 bool TaskPlanner::isWithinCapacity(const Worker& worker)
 {
     return worker.used.within(worker.seen.capacity);
@@ -157,7 +158,7 @@
     for (const auto& [incarnation, number] : this->endsInBatch) {
         Worker* worker = this->find(incarnation);
         if (!worker || worker->seen.incarnation != incarnation)
-            continue; // A later incarnation counts its ends anew.
+            continue; // A later incarnation numbers its ends from 1 again.
         worker->durable = number;
         if (worker->ackDueBy == 0)
             worker->ackDueBy = now + maxAckDelay;
@@ -194,8 +195,9 @@
     this->startOrders.push_back({ worker.seen.incarnation, worker.seen.address, placedRun.run, this->jobs.at(placedRun.run.task.job).text, unit.checkpoint, ticket ? *ticket : "", now });
 }
 
-// A run that had not begun when its worker took the stop: a poll sent since then tells that it
-// is not there. The answer to another stop would have a later poll waited for, each time.
+// Whether a stop was answered before the run was confirmed as started, and no poll has shown the
+// result yet. The next poll settles such a run. Another stop would only postpone that, since its
+// answer would require a still later poll.
 bool TaskPlanner::isStoppedBeforeStart(const Worker& worker, const PlacedRun& placedRun)
 {
     return placedRun.phase == RunPhase::Starting && placedRun.stopAnsweredAt > 0 && placedRun.stopAnsweredAt >= worker.incarnationShownAt;
--- a/src/tasks/task_planner_polls.cc
+++ b/src/tasks/task_planner_polls.cc
@@ -1,7 +1,7 @@
-// Polls: which workers are asked, and in which order where more are due than are sent at
-// once. The worker that has waited longest goes first, so that none is passed over however
-// many are due: a worker that is not polled loses its leases, and the planner does not learn
-// of the ends there.
+// Polls: which workers are polled, and in which order if more polls are due than are sent per
+// turn. The worker that has waited longest goes first, so that no worker starves however many
+// are due: the leases of a worker that is not polled expire, and the planner does not receive
+// its ends.
 
 #include "tasks/planner_limits.h"
 #include "tasks/task_planner.h"
@@ -15,17 +15,18 @@
 
 namespace {
 
-    // A poll that will show room goes ahead of others by this much.
+    // How far a poll that is expected to free resources is moved ahead of others.
     constexpr Millis endExpectedLead = 400;
 
-    // Idle workers go behind others by this much: after a takeover all are due at once.
+    // How far idle workers are moved behind others: after a takeover all polls are due at once.
     constexpr Millis idleDelay = 300;
 
     constexpr Millis firstTurn = -1; // Before all others.
 
 } // namespace
 
-// A run whose stop was answered has an end there, or will not begin any more.
+// Whether a stop was answered since the last poll was sent: the next poll shows an end, or that
+// the run cannot start any more.
 bool TaskPlanner::isEndExpected(const Worker& worker)
 {
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) { return row.second.stopAnsweredAt > 0 && row.second.stopAnsweredAt >= worker.pollSentAt; });
@@ -36,8 +37,9 @@
     return worker.known && worker.isLive() && now + this->options.maxLease / 2 >= worker.leaseOverBy;
 }
 
-// A start whose stop has been answered is settled by the next poll. One that waits
-// for an end would hold up its task, so another goes beside it.
+// Whether a poll is needed that does not wait for the pending one. The next poll settles a start
+// whose stop was answered, but the pending poll may be held open until a run ends, which would
+// delay the task.
 bool TaskPlanner::isConcurrentPollDue(const Worker& worker, Millis now) const
 {
     if (worker.quickPollUnderWay)
@@ -61,11 +63,11 @@
     const bool ackDue = worker.durable > worker.acknowledged && worker.ackDueBy > 0 && now >= worker.ackDueBy;
     if (calm && !worker.isLive() && !ackDue)
         return false;
-    // An end that is not durable yet would come back at once.
+    // The worker would immediately answer again with an end that is not durable yet.
     return !calm || worker.handled <= worker.durable || now + this->options.maxLease / 2 >= worker.leaseOverBy;
 }
 
-// A lease that is over already is not renewed: the poll only asks what has become of the runs.
+// Does not renew a lease that has expired: the poll then only requests the state of the runs.
 void TaskPlanner::addPoll(Worker& worker, Millis now, Orders& orders) const
 {
     const bool renewsLease = worker.known && !worker.silent && worker.isLive() && now < worker.leaseOverBy;
@@ -92,7 +94,7 @@
     std::size_t idle = 0;
     for (const auto& [id, worker] : this->workers) {
         if (worker.seen.address.empty() || (!worker.listed && worker.placedRuns.empty()))
-            continue; // Of one known only from a record, the list has to tell where it is.
+            continue; // The address of a worker known only from a record comes with the list of workers.
         if (this->isConcurrentPollDue(worker, now))
             this->duePolls.push_back({ this->isEndExpected(worker) ? now - endExpectedLead : now, id, true });
         if (!this->isPollDue(worker, now))
--- a/src/tasks/task_planner_reports.cc
+++ b/src/tasks/task_planner_reports.cc
@@ -1,5 +1,5 @@
-// Events that explain decisions afterwards: one for each that is rare, counts for what is
-// routine.
+// Events that explain decisions in the log: one event for each rare decision, counts for routine
+// ones.
 
 #include "tasks/planner_limits.h"
 #include "tasks/task_planner.h"
@@ -51,7 +51,8 @@
             request.each.accelerators, offered.now, offered.afterStops, snapshot.workers.size(), this->workers.size(), this->pendingStopsText(now)));
 }
 
-// Of all units that wait, since one that no round considers has to be found as well.
+// Searches all waiting units, not only the candidates of the round, so that a unit that no round
+// considers is reported too.
 void TaskPlanner::reportOldestWait(const std::vector<Candidate>& candidates, const std::map<std::string, Snapshot>& snapshots, Millis now)
 {
     if (now - this->lastWaitReportAt < waitReportInterval)
@@ -87,7 +88,8 @@
     return textOf(workerCounts);
 }
 
-// Ends at these workers are not read, and their room is not seen.
+// Describes overdue polls. Until such a worker is polled, the planner neither reads its ends nor
+// sees the resources they free.
 std::string TaskPlanner::overduePollsText(Millis now) const
 {
     std::int64_t overdue = 0;
@@ -95,7 +97,7 @@
     std::int64_t unrecorded = 0;
     for (const auto& [id, worker] : this->workers) {
         unrecorded += worker.handled > worker.durable ? 1 : 0;
-        // An idle worker is not polled, so what was due before its start does not count.
+        // An idle worker is not polled, so time before its last start does not count.
         const Millis waited = now - std::max({ worker.nextPollAt, worker.lastStartAt, this->termStartedAt });
         if (worker.pollUnderWay || !worker.isLive() || waited < overduePollThreshold)
             continue;
@@ -105,7 +107,8 @@
     return fmt::format("{} polls overdue, the longest for {} ms, {} workers with ends not recorded", overdue, maxWaited, unrecorded);
 }
 
-// How many there are, and which has taken longest: either its stop or its end is late.
+// Describes the pending stops: their number, and the oldest, for which either the answer to the
+// stop or the run's end is late.
 std::string TaskPlanner::pendingStopsText(Millis now) const
 {
     std::int64_t count = 0;
--- a/src/tasks/task_planner_rounds.cc
+++ b/src/tasks/task_planner_rounds.cc
@@ -1,7 +1,6 @@
-// The choice of what runs where: a round polls every waiting unit in the order
-// of what its delay would cost, and gives it free room, room of runs that are
-// being stopped, room of runs that it may stop (task_planner_evictions.cc), or a
-// reservation.
+// Placement rounds. A round visits the waiting units in the order of what their delay would
+// cost. Each unit gets free resources, resources of runs that are being stopped, resources of
+// runs that it may evict (task_planner_evictions.cc), or a reservation.
 
 #include "tasks/planner_limits.h"
 #include "tasks/task_planner.h"
@@ -77,7 +76,7 @@
 Millis TaskPlanner::expectedEnd(const Unit& unit, Millis now) const
 {
     if (unit.step().longRunning)
-        return now + longRunningTime; // One that serves tells all of its work as done.
+        return now + longRunningTime; // A serving task reports all of its work as done.
     if (unit.startedAt == 0)
         return now + this->expectedRunTime(unit);
     const double done = unit.progress - unit.progressAtStart;
@@ -88,7 +87,7 @@
     return std::max(now, unit.heardAt + static_cast<Millis>((1 - unit.progress) / progressPerMs));
 }
 
-// The worker whose member has done least; null if several are as far.
+// The worker of the member with the least progress, or null if several workers are tied.
 TaskPlanner::Worker* TaskPlanner::slowestWorker(const Unit& unit)
 {
     Worker* slowest = nullptr;
@@ -130,8 +129,8 @@
     }
 }
 
-// Runs on a worker that leaves and would not end in time are moved while what
-// they have saved can still be had.
+// Moves runs that would not end before their worker leaves, while their checkpoints are still
+// available.
 void TaskPlanner::evacuateLeavingWorkers(Millis now)
 {
     std::vector<UnitKey> unitsToMove;
@@ -169,8 +168,9 @@
     }
 }
 
-// The accelerators that urgent jobs hold or wait for; the highest of late, which
-// halves in four seconds, for bursts come in waves.
+// The accelerators that urgent jobs of a service hold or wait for. Returns the maximum of the
+// current demand and of past demand, which decays by half every four seconds, because urgent
+// jobs arrive in repeated bursts.
 std::int64_t TaskPlanner::urgentDemand(const std::string& service, Millis now)
 {
     constexpr double demandHalfLife = 4000;
@@ -200,7 +200,8 @@
     return allocation;
 }
 
-// What ran there before its trust ended says nothing of it, and may last.
+// Whether a run that tests a distrusted worker is already there. Runs that were confirmed before
+// the end of the distrust don't count: they are no test, and may be long-running.
 bool TaskPlanner::hasTrialRun(const Worker& worker)
 {
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) {
@@ -285,7 +286,7 @@
             unit.waitReason = WaitReason::InRetryDelay;
             continue;
         }
-        // Tasks of a step that saved nothing are alike, and there may be hundreds.
+        // Units of one step without saved progress have equal rank, and there may be hundreds.
         const Candidate* previous = candidates.empty() ? nullptr : &candidates.back();
         if (previous && unit.saved == 0 && previous->unit->saved == 0 && isSameStep(previous->unit->key, key)) {
             candidates.push_back({ &unit, previous->queueKey, previous->waitedSince });
@@ -307,7 +308,8 @@
     return candidates;
 }
 
-// Counted once for all units of a step, of which there may be hundreds.
+// How many tasks of the unit's step each worker has. The caller reuses the result for all units
+// of the step, of which there may be hundreds.
 WorkerCounts TaskPlanner::workersOfSiblings(const UnitKey& key) const
 {
     WorkerCounts counts;
@@ -326,14 +328,14 @@
     std::map<std::string, FailedRequests> failedRequests;
     int evictionSearches = 0;
     this->hasDeferredAdvice = false;
-    const UnitKey* blockedStep = nullptr; // A step of which a unit that may use every worker found no place.
-    const UnitKey* countedStep = nullptr; // Of the step that `siblings` tells of.
+    const UnitKey* blockedStep = nullptr; // A unit of a step that could not be placed although it avoids no worker.
+    const UnitKey* countedStep = nullptr; // A unit of the step that `siblings` was counted for.
     WorkerCounts siblings;
     for (Candidate& candidate : candidates) {
         Unit& unit = *candidate.unit;
         if (blockedStep && isSameStep(*blockedStep, unit.key)) {
             unit.waitReason = WaitReason::BehindSibling;
-            continue; // Its units request for the same, so the next finds none either.
+            continue; // All units of a step make the same request, so this one would fail too.
         }
         const std::string& service = unit.job->terms.service;
         auto snapshot = snapshots.find(service);
@@ -363,14 +365,14 @@
         unit.waitReason = WaitReason::NoAdvice;
         if (hasPolicy && !this->resolveAdvice(unit, snapshot->second, request, now))
             continue;
-        // A place that no set of workers can offer is not waited for.
+        // Drops rack preferences that no set of workers can satisfy.
         if ((!request.rack.empty() || request.sameRack) && !snapshot->second.couldEverFit(request)) {
             request.rack.clear();
             request.sameRack = false;
         }
         bool couldFit = snapshot->second.couldEverFit(request);
         if (!couldFit) {
-            request.avoid = nullptr; // Rather one that failed it than none.
+            request.avoid = nullptr; // A worker on which it failed is better than none.
             couldFit = !unit.avoid.empty() && snapshot->second.couldEverFit(request);
         }
         const bool plain = request.isolatedFor.empty() && request.mostPerWorker == 0 && unit.avoid.empty() && !hasPolicy;
@@ -383,16 +385,16 @@
         }
         unit.waitReason = WaitReason::NoWorkerForIsolation;
         if (!request.isolatedFor.empty())
-            continue; // Its siblings may find a place, and none is kept for it.
-        // Stopping others throws work away; the idle workers that a planner which has
-        // just taken over has not heard yet answer within a fraction of a second.
+            continue; // Isolation gets no eviction and no reservation, and does not block its siblings.
+        // Eviction loses work. Idle workers that have not answered a planner which has just
+        // taken over do so within a fraction of a second.
         const bool hasUnpolledRoom = !snapshot->second.unpolled.empty() && snapshot->second.couldFitUnpolled(request);
         if (couldFit && !hasUnpolledRoom && evictionSearches < maxEvictionSearches && this->canEvict(candidate, now)) {
             ++evictionSearches;
             ++this->round.evictionSearches;
             if (this->tryEvict(candidate, snapshot->second, request, now)) {
                 unit.waitReason = WaitReason::AwaitsStops;
-                failedRequests.erase(service); // It moved room from one to another.
+                failedRequests.erase(service); // The eviction changed which resources are free.
                 continue;
             }
         }
--- a/src/tasks/task_planner_violations.cc
+++ b/src/tasks/task_planner_violations.cc
@@ -1,4 +1,4 @@
-// What must always hold of a planner's books, looked at by tests after each of its turns.
+// Invariants of a planner's state, checked by tests after each of its turns.
 
 #include "tasks/task_planner.h"
 
@@ -20,7 +20,7 @@
 
 void TaskPlanner::checkWorkers(std::vector<std::string>& problems) const
 {
-    // No record of such a run is on its way, so nobody would ever send its start.
+    // A run in the phase Recording that is in no batch would never be started.
     const auto isRecorded = [this](const std::string& worker, const RunRef& run) {
         const std::pair<std::string, RunRef> start { worker, run };
         const auto holds = [&start](const auto& starts) { return std::find(starts.begin(), starts.end(), start) != starts.end(); };
@@ -85,7 +85,7 @@
     for (const auto& [id, active] : this->jobs) {
         if (isFinal(active.state))
             continue;
-        using StepNumber = std::pair<std::int64_t, std::int64_t>; // Occurrence and step.
+        using StepNumber = std::pair<std::int64_t, std::int64_t>; // Occurrence and step index.
         std::map<StepNumber, std::vector<std::int64_t>> left;
         for (auto next = this->units.lower_bound({ id, 0, 0, wholeGang }); next != this->units.end() && next->first.job == id; ++next)
             left[{ next->first.occurrence, next->first.step }].push_back(next->first.index);
--- a/src/tasks/task_planner_workers.cc
+++ b/src/tasks/task_planner_workers.cc
@@ -1,5 +1,5 @@
-// Workers and the runs on them: what lists, polls and answers to orders show, and
-// when a run that nobody can see any more is surely over.
+// Workers and their runs: applies worker lists, poll answers and answers to orders, and decides
+// when a run that is no longer observable has certainly ended.
 
 #include "tasks/planner_limits.h"
 #include "tasks/task_planner.h"
@@ -31,7 +31,7 @@
         const auto [found, isNew] = this->workers.try_emplace(seen.incarnation.id);
         Worker& worker = found->second;
         if (!isNew && worker.seen.incarnation.born > seen.incarnation.born)
-            continue; // An entry of a incarnation that is known to be over.
+            continue; // An entry of an incarnation that is known to have ended.
         if (seen.leaving && !worker.seen.leaving)
             worker.leavesAt = now + seen.remaining;
         if (worker.seen.leaving != seen.leaving || !worker.listed)
@@ -39,8 +39,8 @@
         const Incarnation known = worker.seen.incarnation;
         worker.seen = seen;
         worker.listed = true;
-        // Which runs are of the later incarnation only a poll can tell: a start that was
-        // meant for the earlier one may have been carried out by this one.
+        // Only a poll can show which runs belong to the later incarnation: it may have executed a
+        // start that was meant for the earlier one.
         if (!isNew && known.born < seen.incarnation.born) {
             worker.seen.incarnation = known;
             worker.known = false;
@@ -51,7 +51,8 @@
         Worker& worker = next->second;
         if (!listed.contains(next->first)) {
             worker.listed = false;
-            // What may be carried out late has to be known if its next incarnation is listed.
+            // Unanswered calls that may still be executed must be remembered in case the worker's
+            // next incarnation is listed.
             if (worker.placedRuns.empty() && !canReceiveLateCalls(worker, now)) {
                 this->emit(PlanEventKind::WorkerGone, {}, 0, next->first, "no longer listed");
                 next = this->workers.erase(next);
@@ -68,7 +69,7 @@
     if (!worker)
         return;
     if (report.born < worker->seen.incarnation.born && report.born > 0)
-        return this->pollFailed(incarnation, concurrent, WorkerFault::NoAnswer, now); // Overtaken by a poll at the present incarnation.
+        return this->pollFailed(incarnation, concurrent, WorkerFault::NoAnswer, now); // A poll of the current incarnation was answered first.
     if (report.born > worker->seen.incarnation.born)
         this->changeIncarnation(*worker, report, sentAt, concurrent, now);
     if (!worker->known)
@@ -90,7 +91,7 @@
     for (const RunningTask& running : report.running)
         this->applyRunningTask(*worker, running, now);
     this->removeUnlistedRuns(*worker, report, sentAt, now);
-    // Somebody has renewed its lease later than this planner knew of.
+    // The runs are alive, so the lease was renewed later than this planner knew.
     if (!report.running.empty() && now >= worker->leaseOverBy)
         this->grantLease(*worker, now);
 }
@@ -150,8 +151,8 @@
         this->countFailedRun(end.run, now);
 }
 
-// A run that was given up as lost has ended well after all. Its task need not be
-// done again; where that has begun already, the second run is stopped.
+// Accepts the completion of a run that was considered lost. Its task need not run again; if the
+// next run has begun already, it is stopped.
 void TaskPlanner::acceptLateCompletion(const RunRef& run, Millis now)
 {
     const UnitKey key = this->unitOf(run.task);
@@ -167,7 +168,8 @@
 {
     const auto found = worker.placedRuns.find(running.run);
     if (found == worker.placedRuns.end()) {
-        // A run that was given up, or of a job that is over: it only takes room.
+        // The run was considered lost, or its job is final: it only occupies resources until
+        // it has been stopped.
         PlacedRun stray { .run = running.run, .unit = this->unitOf(running.run.task) };
         stray.stray = true;
         stray.phase = RunPhase::Running;
@@ -196,13 +198,14 @@
     }
     if (unit->adopted && firstListed)
         this->estimateInheritedRunTime(*unit, progress, now);
-    // Members have unequal work, and one that is through waits for the others.
+    // Members have unequal work, and a member that has finished its part waits for the others.
+    // So progress of any member counts as progress of the unit.
     if (progress > placedRun.progress) {
         placedRun.progress = progress;
         unit->movedAt = now;
         unit->progress = this->minMemberProgress(*unit);
         if (unit->step().longRunning && progress >= 1 && placedRun.confirmedAt >= worker.trust.distrustedUntil())
-            worker.trust.done(); // It serves, and no end will tell so.
+            worker.trust.done(); // A serving task has no end that would report its success.
     }
     if (!running.checkpoint.empty() && running.checkpoint != unit->checkpoint) {
         unit->checkpoint = running.checkpoint;
@@ -211,8 +214,9 @@
     unit->heardAt = now;
 }
 
-// Nobody knows when a run began that an earlier planner started. Of a gang, the member with most
-// work tells how long it has been at work: others are further in the same time.
+// The start time of a run that an earlier planner started is unknown, so its run time until now
+// is estimated from its progress. For a gang, the minimum over its members counts: the member
+// with most work shows the run time, the others have progressed further in the same time.
 void TaskPlanner::estimateInheritedRunTime(Unit& unit, double progress, Millis now) const
 {
     const Millis expectedWork = this->runTimes.expect(unit.job->terms.queue, unit.step().estimate).work;
@@ -234,8 +238,8 @@
     return minProgress;
 }
 
-// A run that a complete list does not hold is not there. Whether it may still
-// come depends on who sent its start, and on whether a stop got there first.
+// Removes runs that the worker's complete list does not hold and that cannot start later. That
+// depends on which planner sent the start, and on whether a stop arrived first.
 void TaskPlanner::removeUnlistedRuns(Worker& worker, const WorkerReport& report, Millis sentAt, Millis now)
 {
     std::set<RunRef> listed;
@@ -268,7 +272,7 @@
     PlacedRun& placedRun = worker->placedRuns.at(run);
     Unit* unit = placedRun.stray ? nullptr : this->find(placedRun.unit);
     this->pacer.changed();
-    // What an earlier try may still bring about is not undone by the answer to a later one.
+    // The answer to a repeated start does not exclude that an earlier attempt is executed late.
     if (placedRun.startLost && !settlesEarlierTries(answer))
         answer = StartAnswer::NoAnswer;
     const bool canSendAgain = unit && !unit->stopping && placedRun.startsSent < maxStartAttempts && isWithinCapacity(*worker);
@@ -296,14 +300,14 @@
         this->loseIncarnation(*worker, now, "another incarnation answers");
         return;
     case StartAnswer::Old:
-        // An earlier try may have begun the run, and it may have ended since: a poll tells.
+        // An earlier attempt may have started the run, which may have ended since. A poll shows it.
         placedRun.stopAnsweredAt = now;
         worker->nextPollAt = now;
         return;
     case StartAnswer::NotSent:
         this->markSilent(*worker, now);
         worker->nextPollAt = now;
-        // A single task is sooner begun elsewhere; of a gang all members would be stopped.
+        // A single task starts sooner on another worker, but a gang would have to stop all members.
         if (canSendAgain && unit->members() > 1)
             return this->sendStart(*worker, placedRun, *unit, now);
         break;
@@ -402,8 +406,8 @@
     for (auto& [id, worker] : this->workers) {
         if (worker.placedRuns.empty() || now < worker.leaseOverBy)
             continue;
-        // A worker that answers has not been asked in time. It lists what has become of its
-        // runs; given up unread, one that has ended well would run a second time.
+        // The worker answers but was not polled in time. It is polled first, since a run that has
+        // completed would run a second time if it were considered lost without reading its end.
         if (worker.known && !worker.silent && worker.incarnationShownAt < worker.leaseOverBy) {
             worker.nextPollAt = std::min(worker.nextPollAt, now);
             continue;
@@ -418,7 +422,7 @@
         this->emit(PlanEventKind::WorkerLapsed, {}, 0, id, fmt::format("{} runs, no answer for a whole lease", expired.size()));
         for (const RunRef& run : expired)
             this->loseRun(worker, run, RunLoss::LeaseOver, now);
-        worker.known = false; // What runs there now, a poll has to tell.
+        worker.known = false; // A poll must show what runs there now.
     }
 }
 
--- a/src/tasks/wait_reason.h
+++ b/src/tasks/wait_reason.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Why work waits, for the log: what kept a unit from a place in the last round that looked
-// at it, and what kept workers out of that round.
+// Why work waits, for the log: why the last round that considered a unit did not place it, and
+// why workers were not available to that round.
 
 #include <array>
 #include <cstddef>
@@ -12,28 +12,29 @@
 namespace rattan::tasks::detail {
 
 enum class WaitReason {
-    NotConsidered, // By no round yet.
-    InRetryDelay, // Its pause after a failure is not over.
-    BehindSibling, // Another unit of its step found no place before it.
-    NoAdvice, // It is not known yet where its queue's policy lets it run.
-    NoWorkerForIsolation, // No worker is free of all other work.
-    AwaitsStops, // Runs that are being stopped make room for it.
-    NoRoom,
+    NotConsidered, // No round has considered the unit yet.
+    InRetryDelay, // The delay after a failure has not passed.
+    BehindSibling, // An earlier unit of the same step could not be placed.
+    NoAdvice, // The workers that the queue's policy allows are not known yet.
+    NoWorkerForIsolation, // The unit must run alone, and every worker has other runs.
+    AwaitsStops, // Runs that are being stopped will free its resources.
+    NoRoom, // No workers have enough free resources.
 };
 
 inline constexpr std::array<std::string_view, 7> waitReasonNames { "not looked at", "pauses after a failure", "behind a unit of its step", "no advice", "no worker for itself", "waits for stops", "no room" };
 
 inline std::string_view nameOf(WaitReason reason) { return waitReasonNames.at(static_cast<std::size_t>(reason)); }
 
+// Whether a worker can be given work, and if not, why.
 enum class WorkerAvailability {
-    Available, // It takes work.
+    Available,
     Unlisted,
     Leaving,
-    Silent,
-    Resting, // Ends there could be acknowledged unread.
-    Doubted, // With its failure domain.
-    Distrusted, // Runs fail there.
-    NotPolled, // Has not answered this planner yet.
+    Silent, // The last call had no answer.
+    Resting, // A late poll could still acknowledge ends there that were never read.
+    Doubted, // Its whole failure domain may be cut off.
+    Distrusted, // Runs have failed or stalled there repeatedly.
+    NotPolled, // It has not answered a poll of this term yet.
 };
 
 inline constexpr std::size_t availabilityCount = 8;
@@ -41,14 +42,14 @@
 
 inline std::string_view nameOf(WorkerAvailability availability) { return availabilityNames.at(static_cast<std::size_t>(availability)); }
 
-// How many workers there are of each.
+// The number of workers of each availability.
 struct AvailabilityCounts {
     std::array<std::int64_t, availabilityCount> counts {};
 
     void add(WorkerAvailability availability) { ++this->counts[static_cast<std::size_t>(availability)]; }
 };
 
-// "1059 take work, 41 silent".
+// Formats the counts that are not zero, such as "1059 take work, 41 silent".
 std::string textOf(const AvailabilityCounts&);
 
 } // namespace rattan::tasks::detail
