--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -128,13 +128,13 @@
     if (this->planner || !this->jobsLoaded || !this->plansLoaded)
         return;
     tasks::PlannerOptions options;
-    options.longestLease = this->services.settings.maxLease;
+    options.maxLease = this->services.settings.maxLease;
     options.stopTimeout = this->services.settings.stopTimeout;
-    options.advised = !this->services.settings.adviceAddress.empty();
+    options.hasAdviceService = !this->services.settings.adviceAddress.empty();
     this->planner = std::make_unique<tasks::TaskPlanner>(options, this->jobs, this->plans, now, wallTime);
     this->planner->applyCatalog(this->catalog);
     this->workerListChanged = true;
-    logEvent(events::leadTaken, { { "term", this->termNumber }, { "jobs", this->jobs.all().size() }, { "plans", this->plans.all().size() }, { "runs", this->planner->runs() } });
+    logEvent(events::leadTaken, { { "term", this->termNumber }, { "jobs", this->jobs.all().size() }, { "plans", this->plans.all().size() }, { "runs", this->planner->runCount() } });
     if (this->plans.unreadable() > 0)
         logEvent(events::recordUnreadable, { { "stream", "plans" }, { "records", this->plans.unreadable() } });
 }
@@ -151,7 +151,7 @@
     this->checkBatch(now);
     if (now >= this->nextPlanAt)
         this->runPlanner(now, wallTime);
-    else if (now >= this->nextPollsAt && this->planner->hasPollsLeft())
+    else if (now >= this->nextPollsAt && this->planner->hasDuePolls())
         this->sendRemainingPolls(now);
     this->jobsAppender.step(now);
     this->plansAppender.step(now);
@@ -167,17 +167,17 @@
     this->planner->step(now, wallTime);
     // On a slow machine, planner runs must not delay the renewal of the term.
     const Millis duration = this->services.clock.now() - now;
-    this->planner->stepTook(duration, this->services.clock.now());
+    this->planner->reportStepDuration(duration, this->services.clock.now());
     if (duration >= slowRoundThreshold)
         this->logSlowRound(duration);
-    this->executeOrders(this->planner->take(now), now);
+    this->executeOrders(this->planner->takeOrders(now), now);
     const Millis finishedAt = this->services.clock.now();
     this->nextPlanAt = finishedAt + (finishedAt - now) * planPauseFactor;
 }
 
 void Leadership::sendRemainingPolls(Millis now)
 {
-    for (const tasks::PollOrder& order : this->planner->takePolls(now).polls)
+    for (const tasks::PollOrder& order : this->planner->takeDuePolls(now).polls)
         this->sendPoll(order, now);
     const Millis finishedAt = this->services.clock.now();
     this->nextPollsAt = finishedAt + std::max<Millis>(finishedAt - now, 1);
@@ -189,7 +189,7 @@
         return;
     if (now - this->batchSentAt >= slowBatchThreshold)
         logEvent(events::recordSlow, { { "batch", this->batchInFlight }, { "took_ms", now - this->batchSentAt }, { "term", this->termNumber } });
-    this->planner->recorded(std::exchange(this->batchInFlight, 0), now);
+    this->planner->batchRecorded(std::exchange(this->batchInFlight, 0), now);
 }
 
 void Leadership::append(const tasks::RecordBatch& batch)
@@ -209,7 +209,7 @@
         currentSightings.push_back(sighting);
         places.push_back({ id, sighting.domain });
     }
-    this->planner->workersSeen(currentSightings, now);
+    this->planner->workersListed(currentSightings, now);
     this->services.relaySelector.setWorkers(std::move(places));
 }
 
@@ -242,7 +242,7 @@
         if (isExpired && expired.size() < maxForgottenJobs)
             expired.push_back(id);
     }
-    this->planner->forget(expired);
+    this->planner->forgetJobs(expired);
 }
 
 Millis Leadership::nextWake(Millis now, Millis wallTime) const
@@ -250,7 +250,7 @@
     if (!this->planner)
         return now + workerListInterval;
     Millis wakeAt = std::max(this->planner->nextWake(now, wallTime), this->nextPlanAt);
-    if (this->planner->hasPollsLeft())
+    if (this->planner->hasDuePolls())
         wakeAt = std::min(wakeAt, std::max(now, this->nextPollsAt));
     return std::min({ wakeAt, this->relayedChannel.nextWake(), now + workerListInterval });
 }
@@ -341,16 +341,16 @@
 void Leadership::sendPoll(const tasks::PollOrder& order, Millis now)
 {
     std::optional<Millis> leaseEnd;
-    if (const auto estimated = this->workerClocks.estimate(order.worker, now); estimated && order.renews)
+    if (const auto estimated = this->workerClocks.estimate(order.worker, now); estimated && order.renewsLease)
         leaseEnd = *estimated + this->services.settings.maxLease;
     this->relayedChannel.send({ order, this->termNumber, leaseEnd }, [this, order, now](const WorkerAnswer& answer) {
         const auto& reply = std::get<PollReply>(answer.reply);
         const Millis answeredAt = this->services.clock.now();
         this->services.metrics.count("rattan_orders_total", { { "order", "poll" }, { "outcome", reply.report ? "answered" : std::string(tasks::nameOf(reply.fault)) } });
         if (!reply.report)
-            return this->planner->pollFailed(order.worker, order.beside, reply.fault, answeredAt);
+            return this->planner->pollFailed(order.worker, order.concurrent, reply.fault, answeredAt);
         this->workerClocks.update(order.worker, reply.report->clock, answeredAt);
-        this->planner->pollAnswered(order.worker, now, order.beside, *reply.report, answeredAt);
+        this->planner->pollAnswered(order.worker, now, order.concurrent, *reply.report, answeredAt);
     });
 }
 
--- a/src/tasks/task_planner_crashes.cc
+++ b/src/tasks/task_planner_crashes.cc
@@ -1,6 +1,6 @@
-// Runs that are lost with their workers, and tasks that may be the cause: what is counted
-// of them, when a job is given up, and how a suspect task is kept apart until it is seen
-// to have survived its start.
+// Runs that are lost with their workers, and tasks that may be the cause: which crashes are
+// counted, when a job fails because of them, and how a suspect task is isolated until it has
+// survived its start.
 
 #include "tasks/planner_limits.h"
 #include "tasks/task_planner.h"
@@ -22,9 +22,9 @@
 
 std::string_view detail::nameOf(RunLoss loss) { return lossNames.at(static_cast<std::size_t>(loss)); }
 
-// A run of which nothing more will be heard: the log has to tell a crash under a task from
-// an eviction, and what ran beside it.
-void TaskPlanner::runLost(Worker& worker, const RunRef& ref, RunLoss loss, Millis now)
+// Removes a run whose end will not be reported. The event lets the log distinguish a crash under
+// a task from an eviction, and shows how many runs the worker had.
+void TaskPlanner::loseRun(Worker& worker, const RunRef& ref, RunLoss loss, Millis now)
 {
     const RunRef run = ref;
     const auto found = worker.placedRuns.find(run);
@@ -34,11 +34,13 @@
     const std::string confirmed = placedRun.confirmedAt > 0 ? fmt::format("confirmed {} ms ago", now - placedRun.confirmedAt) : "never confirmed";
     this->emit(PlanEventKind::RunLost, placedRun.unit, run.run, worker.seen.incarnation.id, fmt::format("{}, {}, {} runs there", nameOf(loss), confirmed, worker.placedRuns.size()));
     this->countCrash(worker, placedRun, loss);
-    this->memberGone(worker, run, loss == RunLoss::LeaseOver ? std::optional(RunEnd::Lapsed) : std::nullopt, "", now);
+    this->removeMember(worker, run, loss == RunLoss::LeaseOver ? std::optional(RunEnd::Lapsed) : std::nullopt, "", now);
 }
 
-// A run whose stop its worker had taken may have ended by it, unread. A worker that was leaving has left. One whose lease is over may be cut off; only if it is
-// not listed any more may it have crashed.
+// Counts a crash unless there is a better explanation: a leaving worker has left, and a worker
+// whose lease has expired may be cut off; it may have crashed only if it is not listed any more.
+// A run whose stop was answered may have been stopped without its end being read, so the
+// evidence is unproven.
 void TaskPlanner::countCrash(const Worker& worker, const PlacedRun& placedRun, RunLoss loss)
 {
     if (worker.seen.leaving || placedRun.phase == RunPhase::Recording || (loss == RunLoss::LeaseOver && worker.listed))
@@ -63,10 +65,10 @@
     this->markDirty(unit->key.job);
     unit->suspect = unit->suspect || evidence != CrashEvidence::Late;
     if (unit->crashes.isExhausted(unit->run))
-        this->exhausted.insert(unit->key);
+        this->exhaustedUnits.insert(unit->key);
 }
 
-// Of a task that lasts, crashes before it served say nothing of those after.
+// For a long-running task, crashes before a successful start say nothing about later ones.
 void TaskPlanner::clearSuspicion(Unit& unit)
 {
     this->isolatedUnits.erase(unit.key);
@@ -76,17 +78,17 @@
     this->pacer.changed();
 }
 
-void TaskPlanner::giveUpExhausted(Millis now)
+void TaskPlanner::failExhaustedJobs(Millis now)
 {
-    for (const UnitKey& key : std::exchange(this->exhausted, {})) {
+    for (const UnitKey& key : std::exchange(this->exhaustedUnits, {})) {
         const Unit* unit = this->find(key);
         if (unit && unit->crashes.isExhausted(unit->run))
             this->finishJob(unit->job->id, JobState::Failed, fmt::format("step {}: {} workers crashed under its tasks", key.step, unit->crashes.size()), now);
     }
 }
 
-// Once a worker has crashed under a unit, a planner that takes over has to know whether
-// the next one did as well, or was never reached.
+// After a crash under the unit, the confirmed start is recorded: a planner that takes over must
+// know whether the start reached the next worker, in order to count a crash there.
 void TaskPlanner::confirmStart(PlacedRun& placedRun, Millis now)
 {
     placedRun.phase = RunPhase::Running;
@@ -108,9 +110,9 @@
     return true;
 }
 
-// The workers that suspect tasks of a job have to themselves. One job's are tried together,
-// so that it costs one worker at a time whichever of them is to blame.
-std::set<std::string> TaskPlanner::isolationOf(const std::string& job) const
+// The workers on which only suspect tasks of the job run. They are tested together there, so
+// that a crash costs only one worker, whichever of the tasks causes it.
+std::set<std::string> TaskPlanner::isolatedWorkersOf(const std::string& job) const
 {
     std::set<std::string> ids;
     for (auto next = this->isolatedUnits.lower_bound({ job, 0, 0, wholeGang }); next != this->isolatedUnits.end() && next->job == job; ++next) {
@@ -120,13 +122,14 @@
     return ids;
 }
 
-// A suspect task keeps a worker to itself until it is seen to have survived its start.
-bool TaskPlanner::isCheckDue(const PlacedRun& placedRun, Millis now) const
+// Whether a poll must check if an isolated run has survived its start, which would end its
+// isolation.
+bool TaskPlanner::isSurvivalCheckDue(const PlacedRun& placedRun, Millis now) const
 {
     return placedRun.phase == RunPhase::Running && !placedRun.isProven() && now >= placedRun.confirmedAt + provenAfter && this->isolatedUnits.contains(placedRun.unit);
 }
 
-Millis TaskPlanner::nextCheck(Millis now) const
+Millis TaskPlanner::nextSurvivalCheck(Millis now) const
 {
     Millis next = std::numeric_limits<Millis>::max();
     for (const UnitKey& key : this->isolatedUnits) {
--- a/src/tasks/testing/long_running_tasks_test.cc
+++ b/src/tasks/testing/long_running_tasks_test.cc
@@ -48,7 +48,7 @@
             sightings.push_back({ .incarnation = { id, 1 }, .address = id, .service = "s", .domain = "d", .rack = "r", .labels = {}, .capacity = wholeWorker });
         }
         this->planner.applyCatalog(std::make_shared<Catalog>());
-        this->planner.workersSeen(sightings, this->now);
+        this->planner.workersListed(sightings, this->now);
     }
 
     void submit(const Job& submitted)
@@ -63,7 +63,7 @@
     {
         for (const Millis until = this->now + time; this->now < until; this->now += turnInterval) {
             this->planner.step(this->now, this->now);
-            const Orders orders = this->planner.take(this->now);
+            const Orders orders = this->planner.takeOrders(this->now);
             for (const StartOrder& order : orders.starts)
                 this->start(order);
             for (const StopOrder& order : orders.stops)
@@ -71,7 +71,7 @@
             for (const PollOrder& order : orders.polls)
                 this->poll(order);
             for (const RecordBatch& batch : orders.batches)
-                this->planner.recorded(batch.number, this->now);
+                this->planner.batchRecorded(batch.number, this->now);
         }
     }
 
@@ -136,7 +136,7 @@
             worker.running.erase(current);
         }
         report.ended = worker.ended;
-        this->planner.pollAnswered(order.worker, this->now, order.beside, report, this->now);
+        this->planner.pollAnswered(order.worker, this->now, order.concurrent, report, this->now);
     }
 
     Millis now { 1000 };
