--- a/src/instance/control_loop.cc
+++ b/src/instance/control_loop.cc
@@ -190,7 +190,7 @@
     this->settings.maxLease = this->newSettings->maxLease;
     this->settings.stopTimeout = this->newSettings->stopTimeout;
     this->settings.statusRetention = this->newSettings->statusRetention;
-    this->settings.grace = this->newSettings->grace;
+    this->settings.stopGrace = this->newSettings->stopGrace;
     this->newSettings.reset();
 }
 
--- a/src/instance/program.cc
+++ b/src/instance/program.cc
@@ -80,7 +80,7 @@
                 return;
             }
             this->loop.apply(*newSettings.value);
-            this->settings.grace = newSettings.value->grace;
+            this->settings.stopGrace = newSettings.value->stopGrace;
             logEvent(events::reloaded, { { "store", newSettings.value->storeAddress } });
         }
 
@@ -89,9 +89,9 @@
         // requests in progress are answered.
         void drain()
         {
-            logEvent(events::stopping, { { "grace_ms", this->settings.grace } });
+            logEvent(events::stopping, { { "grace_ms", this->settings.stopGrace } });
             const Millis startedAt = this->clock.now();
-            const ShutdownSchedule schedule = scheduleShutdown(this->settings.grace);
+            const ShutdownSchedule schedule = scheduleShutdown(this->settings.stopGrace);
             this->callerServer.drain();
             this->loop.drain(startedAt + schedule.answerDeadline);
             while (this->clock.now() < startedAt + schedule.acceptUntil)
--- a/src/instance/shutdown_schedule.h
+++ b/src/instance/shutdown_schedule.h
@@ -2,7 +2,7 @@
 
 // Computes the times of a planned shutdown, in milliseconds from its signal.
 //
-//     const ShutdownSchedule schedule = scheduleShutdown(settings.grace);
+//     const ShutdownSchedule schedule = scheduleShutdown(settings.stopGrace);
 //
 // Failure that this prevents: connections are closed while requests still wait for answers, and
 // their callers can't know whether a job was stored.
--- a/src/instance/store_protocol.h
+++ b/src/instance/store_protocol.h
@@ -49,7 +49,7 @@
     Appended,
     Elsewhere, // The stream ends at another offset, possibly because this append succeeded and its response was lost.
     Fenced, // A later epoch has begun.
-    WrongNumber, // The producer's number is wrong; AppendReply::expected is the right one.
+    WrongNumber, // The producer's number is wrong; AppendReply::expectedNumber is the right one.
     NotDone,
     Unknown, // The append may have been executed, or may be executed later.
 };
@@ -59,7 +59,7 @@
 struct AppendReply {
     AppendStatus status { AppendStatus::Unknown };
     std::int64_t end { -1 }; // End of the stream, or -1 if unknown.
-    std::int64_t expected { -1 };
+    std::int64_t expectedNumber { -1 };
 };
 
 struct ReadReply {
@@ -85,7 +85,7 @@
     virtual http::Call read(Stream, std::int64_t from, Millis wait) const = 0;
     virtual Result<ReadReply> parseRead(const http::Reply&, std::int64_t from) const = 0;
 
-    virtual http::Call newest(Stream, const std::string& afterKey) const = 0;
+    virtual http::Call listNewest(Stream, const std::string& afterKey) const = 0;
     virtual Result<NewestPage> parseNewest(const http::Reply&) const = 0;
 };
 
--- a/src/instance/stream_reader.cc
+++ b/src/instance/stream_reader.cc
@@ -55,11 +55,11 @@
     if (!this->loading) {
         this->loading = true;
         this->lastLoadedKey.clear();
-        this->loadEnd = -1;
+        this->endAtLoadStart = -1;
         this->loadSentAt = sentAt;
         this->handler.loadStarted(this->options.stream);
     }
-    http::Call call = this->protocol.newest(this->options.stream, this->lastLoadedKey);
+    http::Call call = this->protocol.listNewest(this->options.stream, this->lastLoadedKey);
     call.purpose = "load";
     call.address = this->options.address;
     call.timeout = std::chrono::milliseconds(this->options.timeout);
@@ -79,8 +79,8 @@
         return this->handleFailure(page.error.message);
     const Millis now = this->clock.now();
     this->retryDelay = 0;
-    if (this->loadEnd < 0)
-        this->loadEnd = page.value->end;
+    if (this->endAtLoadStart < 0)
+        this->endAtLoadStart = page.value->end;
     for (const StoreRecord& record : page.value->records)
         this->handler.recordRead(this->options.stream, record, now);
     if (page.value->hasMore && !page.value->records.empty()) {
@@ -88,7 +88,7 @@
         return;
     }
     this->loading = false;
-    this->nextOffset = this->loadEnd;
+    this->nextOffset = this->endAtLoadStart;
     this->confirm(this->loadSentAt);
 }
 
--- a/src/instance/stream_reader.h
+++ b/src/instance/stream_reader.h
@@ -73,7 +73,7 @@
     std::int64_t nextOffset { -1 }; // The offset of the next read; negative if a load is needed first.
     bool loading { false };
     std::string lastLoadedKey; // The last key of the previous page.
-    std::int64_t loadEnd { -1 };
+    std::int64_t endAtLoadStart { -1 };
     Millis loadSentAt { 0 };
     bool callInFlight { false };
     bool probeInFlight { false };
--- a/src/instance/testing/shutdown_schedule_test.cc
+++ b/src/instance/testing/shutdown_schedule_test.cc
@@ -21,7 +21,7 @@
     // connection and takes the longest time that an answer may take.
     void defaultGraceCoversSlowestAnswer()
     {
-        const ShutdownSchedule schedule = scheduleShutdown(InstanceSettings {}.grace);
+        const ShutdownSchedule schedule = scheduleShutdown(InstanceSettings {}.stopGrace);
         CPPUNIT_ASSERT(schedule.answerDeadline >= schedule.acceptUntil + GatewayOptions {}.maxAnswerTime);
     }
 
--- a/src/instance/testing/stream_reader_test.cc
+++ b/src/instance/testing/stream_reader_test.cc
@@ -25,7 +25,7 @@
             return fail(ErrorCode::Unavailable, "test.read", "", "no answer");
         return ReadReply {};
     }
-    http::Call newest(Stream, const std::string&) const override { return { .path = "/newest" }; }
+    http::Call listNewest(Stream, const std::string&) const override { return { .path = "/newest" }; }
     Result<NewestPage> parseNewest(const http::Reply&) const override { return NewestPage {}; }
 };
 
--- a/src/instance/testing/term_appender_test.cc
+++ b/src/instance/testing/term_appender_test.cc
@@ -25,7 +25,7 @@
     AppendReply parseAppend(const http::Reply& reply) const override { return { .status = reply.ok() ? AppendStatus::Appended : AppendStatus::NotDone }; }
     http::Call read(Stream, std::int64_t, Millis) const override { return {}; }
     Result<ReadReply> parseRead(const http::Reply&, std::int64_t) const override { return ReadReply {}; }
-    http::Call newest(Stream, const std::string&) const override { return {}; }
+    http::Call listNewest(Stream, const std::string&) const override { return {}; }
     Result<NewestPage> parseNewest(const http::Reply&) const override { return NewestPage {}; }
 };
 
