--- a/src/instance/control_loop.cc
+++ b/src/instance/control_loop.cc
@@ -141,7 +141,8 @@
     this->applyNewSettings();
     this->acceptRequests(now, wallTime);
     this->configurationReader.step(now);
-    // A relay needs the jobs of the starts that it sends as soon as the planner has them.
+    // A relay can send a start only if it has the job, so it needs each job as soon as the
+    // planner has it.
     this->jobsReader.setLowLatency(this->leadership || this->orderForwarder.hasSessions() || this->gateway.isAwaitingJobEnd());
     this->jobsReader.step(now);
     this->claimsReader.step(now);
@@ -180,8 +181,8 @@
     }
 }
 
-// Times and limits change at runtime. Addresses do not change before a restart, since other
-// instances and callers know this instance by them.
+// Applies the settings that can change at runtime. Addresses cannot change before a restart,
+// since other instances and callers know this instance by them.
 void ControlLoop::applyNewSettings()
 {
     const std::lock_guard lock(this->newSettingsMutex);
--- a/src/instance/control_loop.h
+++ b/src/instance/control_loop.h
@@ -67,7 +67,7 @@
 
     CallerAnswer handleRequest(CallerRequest);
 
-    // Whether this instance accepts new connections.
+    // Whether the load balancer should send new connections to this instance.
     bool isReady() const { return this->gatewayReady && !this->draining; }
 
     void recordRead(Stream, const StoreRecord&, Millis now) override;
@@ -124,7 +124,7 @@
     Metrics& metrics;
     http::AsyncClient client;
     tasks::JobTable jobs;
-    tasks::PlanTable plans; // As of the start of this instance's latest term; not updated while it plans.
+    tasks::PlanTable plans; // Read before a claim and at the start of a term; not updated while this instance plans.
     Gateway gateway;
     RequestForwarder requestForwarder;
     StreamReader configurationReader;
--- a/src/instance/control_loop_limits.h
+++ b/src/instance/control_loop_limits.h
@@ -14,8 +14,8 @@
 // Longest wait of an iteration; any earlier event wakes the loop.
 inline constexpr Millis maxLoopWait = 100;
 
-// An iteration that exceeds its wait by this much is logged. It delays answers and the renewal
-// of terms, which otherwise looks like a slow network.
+// An iteration that exceeds its wait by this much is logged. It delays reads of answers and
+// renewals of terms by the same time, and without the log this looks like a slow network.
 inline constexpr Millis slowIterationThreshold = 200;
 
 // How long a read at the store may wait for new records. A silent connection is detected this
@@ -36,8 +36,8 @@
 // Instances below minPlanningCores rarely plan and do not need every renewal immediately.
 inline constexpr Millis weakClaimsBatchInterval = 900;
 
-// Such instances do not claim if their last confirmed read of the claims is older than this,
-// twice the time that such a read usually takes.
+// Instances below minPlanningCores do not claim if their last confirmed read of the claims is
+// older than this, which is twice the time that such a read usually takes.
 inline constexpr Millis maxWeakClaimsAge = 4000;
 
 // An instance claims only if it read the plans this recently; it continues from there when it leads.
--- a/src/instance/forwarded_answer.cc
+++ b/src/instance/forwarded_answer.cc
@@ -7,7 +7,8 @@
     bool isDone(const CallerAnswer& answer) { return answer.outcome == Outcome::Accepted || answer.outcome == Outcome::Cancelled; }
 
     // An operation that either instance executed, or may have executed, determines the answer,
-    // whatever the other answer is. Only if neither executed it can one of them be better.
+    // whatever the other answer is. If neither executed it, the answer of the better
+    // informed instance is used.
     CallerAnswer mergeAnswers(const CallerAnswer& ownAnswer, const CallerAnswer& peerAnswer, bool wasResent)
     {
         if (isDone(peerAnswer))
--- a/src/instance/gateway.h
+++ b/src/instance/gateway.h
@@ -44,7 +44,7 @@
     Millis maxAnswerTime { 2500 }; // Callers time out after three seconds, and the answer needs time to reach them.
     Millis answerMargin { 300 }; // Part of the caller's timeout that is reserved for sending the answer.
     Millis maxConfigurationAge { 4000 }; // API keys are not accepted if the configuration was last confirmed longer ago.
-    Millis maxPendingCountAge { 1800 }; // The reported number of pending jobs may be two seconds old.
+    Millis maxPendingCountAge { 1800 }; // The reported number of pending jobs may be at most two seconds old.
     // A request for the state of a running job waits this long for the end of the job, and is
     // answered as soon as the end is known. Callers poll when they expect the end, and poll
     // again after a pause. The end becomes known here shortly after it happened, so an
@@ -79,7 +79,7 @@
     void handleRequest(std::uint64_t ticket, const CallerRequest&, Millis now, Millis wallTime);
 
     // Removes and returns the oldest records to append, at least one if there are any. The
-    // caller reports the outcome of each with appendCompleted().
+    // outcome of each must be reported with appendCompleted().
     std::vector<StoreRecord> takeRecords(std::size_t maxRecords, std::size_t maxBytes);
     void appendCompleted(const std::vector<std::string>& keys, AppendStatus, Millis now);
 
--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -23,7 +23,8 @@
 
     constexpr std::chrono::milliseconds connectTimeout { 500 };
 
-    // Reporting thresholds. Urgent tasks must start within little more than a second.
+    // Orders, record batches and planner runs that take this long are logged. Urgent tasks must
+    // start within little more than a second.
     constexpr Millis slowOrderThreshold = 300;
     constexpr Millis slowBatchThreshold = 200;
     constexpr Millis slowRoundThreshold = 50;
@@ -160,12 +161,13 @@
 }
 
 // Each run examines every worker. With a thousand workers whose answers arrive continuously,
-// one run per answer would use all processor time, so that several answers share a run.
+// one run per answer would use all processor time. Several answers share a run instead.
 void Leadership::runPlanner(Millis now, Millis wallTime)
 {
     this->forgetExpiredJobs(now);
     this->planner->step(now, wallTime);
-    // On a slow machine, planner runs must not delay the renewal of the term.
+    // The planner spaces its runs by their duration, so that on a slow machine they do not delay
+    // the renewal of the term.
     const Millis duration = this->services.clock.now() - now;
     this->planner->reportStepDuration(duration, this->services.clock.now());
     if (duration >= slowRoundThreshold)
@@ -380,7 +382,7 @@
         target[record.key] = *sighting.value;
         return;
     }
-    // The record is malformed, so the worker that it describes cannot be used.
+    // The record was written by another program or is damaged, so it describes no usable worker.
     target.erase(record.key);
     logEvent(events::recordUnreadable, { { "stream", "workers" }, { "key", record.key }, { "why", sighting.error.message } });
 }
--- a/src/instance/planner_watch.h
+++ b/src/instance/planner_watch.h
@@ -65,8 +65,8 @@
     static constexpr Millis watchRequestInterval = 1000;
     static constexpr Millis watcherExpiry = 3500;
 
-    // Required before missing heartbeats count, since the first one may arrive while the network
-    // path is still being set up.
+    // Heartbeats that must arrive before missing ones count, since the first one may arrive while
+    // the network path is still being set up.
     static constexpr int minHeartbeats = 2;
 
     // If the previous planner held its term for less than this, detection is disabled for the
--- a/src/instance/program.h
+++ b/src/instance/program.h
@@ -1,7 +1,7 @@
 #pragma once
 
 // The program rattan-instance, which is all of rattanrock on an instance of the platform. Every
-// instance serves callers, and one of them plans at a time.
+// instance serves callers, and one instance at a time plans.
 
 #include "base/error.h"
 #include "instance/control_loop.h"
--- a/src/instance/settings.h
+++ b/src/instance/settings.h
@@ -19,7 +19,7 @@
     std::string adviceAddress; // IP:PORT of the advice service, which knows the queues' policies; empty if there is none.
     Millis maxLease { 10000 }; // Longest lease that a worker grants.
     Millis stopTimeout { 200 }; // Longest time that a worker takes to stop a task.
-    Millis keyExpiry { 5000 }; // A revoked key must be rejected after this time.
+    Millis keyExpiry { 5000 }; // Longest time for which a revoked key may still be accepted.
     Millis stopGrace { 6000 }; // Time from the stop signal until the process is killed.
     Millis statusRetention { 120000 }; // How long the state of an ended job can be queried.
     double processorCores { 1 }; // Processor time that this process may use, in cores.
--- a/src/instance/stream_reader.h
+++ b/src/instance/stream_reader.h
@@ -22,8 +22,8 @@
     Stream stream { Stream::Jobs };
     std::string address;
     Millis wait { 1000 }; // How long a read may wait for a record. Also delays the detection of a silent connection.
-    Millis readInterval { 0 }; // Between two reads, which then do not wait; for streams that change continuously. 0: reads wait.
-    Millis batchInterval { 0 }; // After a read with records, so that closely following records share a read. Not used in low-latency mode.
+    Millis readInterval { 0 }; // Pause between two reads, for streams that change continuously. If it is not 0, reads do not wait for records.
+    Millis batchInterval { 0 }; // Pause after a read that returned records, so that records that follow closely share the next read. Not used in low-latency mode.
     Millis timeout { 1200 }; // In addition to the wait. Responses usually take a few milliseconds.
 };
 
--- a/src/instance/term_appender.cc
+++ b/src/instance/term_appender.cc
@@ -107,8 +107,8 @@
         return;
     }
     logEvent(events::appendFailed, { { "stream", nameOf(this->stream) }, { "status", nameOf(status) }, { "records", sent } });
-    // WrongNumber: another append has this epoch, such as a fence that was executed late. A new
-    // term starts from the records in the store, with new sequence numbers.
+    // WrongNumber means that something else was appended in this epoch, such as a fence that was
+    // executed late. A new term starts from the records in the store, with new sequence numbers.
     if (status == AppendStatus::Fenced || status == AppendStatus::WrongNumber)
         this->termLost = true;
     this->retryAt = this->clock.now() + appendRetryDelay;
--- a/src/instance/testing/gateway_test.cc
+++ b/src/instance/testing/gateway_test.cc
@@ -120,7 +120,8 @@
         this->request(2, RequestKind::Cancel, startTime + 800);
         this->confirmReads(startTime + 900);
         this->expect(2, Outcome::Unknown);
-        // The store is unreachable. A refusal would be forwarded, and a peer would deny the job.
+        // The store counts as unreachable by now, so the request is forwarded. The peer's "no such
+        // job" would replace a refusal, but it does not replace Outcome::Unknown.
         this->request(4, RequestKind::Cancel, startTime + 2500);
         this->expect(4, Outcome::Unknown);
         // A job that was never submitted here cannot be stored.
@@ -366,7 +367,7 @@
 
     // A caller polls just when its job ends, and the planner's record arrives some tens of
     // milliseconds later. With an immediate "running" the caller would see the end only after its
-    // next pause, and a job that was in time would be late for it.
+    // next pause, and a job that ended in time would appear to be late.
     void stateRequestWaitsForEndOfRunningJob()
     {
         this->applyState(JobState::Running);
--- a/src/instance/testing/planner_watch_test.cc
+++ b/src/instance/testing/planner_watch_test.cc
@@ -48,8 +48,8 @@
         CPPUNIT_ASSERT(!this->watch.hasPlannerFailed(lastHeartbeatAt + PlannerWatch::heartbeatTimeout + 1));
     }
 
-    // No datagrams arrive between some instances. Such an instance must wait for the end of the
-    // term; otherwise it would repeatedly replace a working planner.
+    // Some instances cannot exchange datagrams with the planner. They must wait for the end of the
+    // term; otherwise they would repeatedly replace a working planner.
     void plannerWithoutHeartbeatsIsNotReplaced()
     {
         CPPUNIT_ASSERT(!this->watch.hasPlannerFailed(startTime + 60000));
--- a/src/instance/testing/request_forwarder_test.cc
+++ b/src/instance/testing/request_forwarder_test.cc
@@ -126,7 +126,8 @@
             CPPUNIT_ASSERT(this->forward(Outcome::Unknown, answerWithoutStore(ownAnswer)).outcome == Outcome::Unknown);
     }
 
-    // Guards against a refusal of a job that the other instance stored at the first transmission.
+    // Guards against a refusal of a job that the other instance stored at the first transmission,
+    // and that then runs.
     void rejectionOfResentRequestIsUnknown()
     {
         const std::string rejection(nameOf(Outcome::NotNow));
--- a/src/instance/traffic_report.h
+++ b/src/instance/traffic_report.h
@@ -4,7 +4,7 @@
 // of the busiest purposes.
 //
 //     TrafficReport report(metrics);
-//     report.publish(client.traffic(), now); // at any rate
+//     report.publish(client.traffic(), now); // at any interval
 //
 // Without it, a saturated link looks like a slow network: calls time out, and nothing shows
 // which calls use the bandwidth. Not thread-safe.
