--- a/src/delivery/testing/delivery_thread_test.cc
+++ b/src/delivery/testing/delivery_thread_test.cc
@@ -91,7 +91,7 @@
     {
         this->planner.deliveries.send({ this->relay.deliveries.address(), term, 0, { { 1, pollOf("w1") } } });
         const auto arrived = this->relay.await<OrdersArrived>();
-        tasks::WorkerReport report { .clock = 10, .born = 1, .running = { { { { "a", 0, 1, 2 }, 3 }, "c", 40 } }, .ended = { { 8, { { "b", 0, 0, 0 }, 1 }, tasks::RunEnd::Broken, "d" } } };
+        tasks::WorkerReport report { .clock = 10, .born = 1, .running = { { { { "a", 0, 1, 2 }, 3 }, "c", 40 } }, .ended = { { 8, { { "b", 0, 0, 0 }, 1 }, tasks::RunEnd::GangMemberEnded, "d" } } };
         for (const std::int64_t percent : { 40, 50, 50 }) {
             report.running[0].percent = percent;
             this->relay.deliveries.answer({ arrived.session, { { 1, "w1", { PollReply { .report = report }, 200 } } } });
@@ -100,7 +100,7 @@
             CPPUNIT_ASSERT(got && got->clock == 10 && got->born == 1);
             CPPUNIT_ASSERT(got->running.at(0).run == report.running[0].run && got->running[0].checkpoint == "c");
             CPPUNIT_ASSERT_EQUAL(percent, got->running[0].percent);
-            CPPUNIT_ASSERT(got->ended.at(0).number == 8 && got->ended[0].end == tasks::RunEnd::Broken && got->ended[0].checkpoint == "d");
+            CPPUNIT_ASSERT(got->ended.at(0).number == 8 && got->ended[0].end == tasks::RunEnd::GangMemberEnded && got->ended[0].checkpoint == "d");
         }
     }
 
--- a/src/delivery/testing/order_carrier_test.cc
+++ b/src/delivery/testing/order_carrier_test.cc
@@ -116,7 +116,7 @@
         known.id = job;
         known.text = "the text";
         known.steps.emplace_back();
-        this->jobs.apply(tasks::keyText({ tasks::RecordKind::Job, job }), tasks::encodeJob(known), 1, this->clock.now());
+        this->jobs.apply(tasks::formatKey({ tasks::RecordKind::Job, job }), tasks::encodeJob(known), 1, this->clock.now());
     }
 
     void arrive(std::vector<NumberedCall> calls)
--- a/src/delivery/worker_protocol.h
+++ b/src/delivery/worker_protocol.h
@@ -45,7 +45,7 @@
     virtual std::optional<std::vector<tasks::AllowedWorker>> parseAdvice(const http::Reply&) const = 0;
 
     // Of an entry of the list of workers.
-    virtual Result<tasks::WorkerSighting> parseSighting(const std::string& id, std::string_view entry) const = 0;
+    virtual Result<tasks::WorkerDescription> parseSighting(const std::string& id, std::string_view entry) const = 0;
 };
 
 } // namespace rattan::delivery
--- a/src/instance/control_loop.cc
+++ b/src/instance/control_loop.cc
@@ -288,7 +288,7 @@
     this->trafficReport.publish(this->client.traffic(), now);
     constexpr double millisPerSecond = 1000;
     if (this->leadership)
-        this->metrics.set("rattan_term_left_seconds", {}, static_cast<double>(this->election.leadsUntilTime() - now) / millisPerSecond);
+        this->metrics.set("rattan_term_left_seconds", {}, static_cast<double>(this->election.termEndTime() - now) / millisPerSecond);
     for (const auto& [stream, reader] : { std::pair("configuration", &this->configurationReader), std::pair("jobs", &this->jobsReader), std::pair("claims", &this->claimsReader) })
         this->metrics.set("rattan_picture_age_seconds", { { "stream", stream } }, static_cast<double>(now - reader->confirmedAt()) / millisPerSecond);
 }
--- a/src/instance/control_loop_streams.cc
+++ b/src/instance/control_loop_streams.cc
@@ -72,7 +72,7 @@
         this->offerAt = 0; // The planner that follows needs helpers at once.
         logEvent(events::leadSeen, { { "term", claim.value->term }, { "holder", claim.value->holder } });
     }
-    this->election.recordRead(*claim.value, record.offset, now);
+    this->election.didReadClaim(*claim.value, record.offset, now);
     this->relay.planned(addressOfHolder(claim.value->holder));
     this->plannerWatch.claimed({ claim.value->term, this->peerOf(claim.value->holder) }, now);
 }
@@ -83,12 +83,12 @@
     if (!known)
         logEvent(events::storeRegained, { { "stream", nameOf(stream) }, { "end", end } });
     if (!known && stream == Stream::Claims)
-        this->election.unreadUntil(now);
+        this->election.didRegainLog(now);
     known = true;
     if (stream == Stream::Configuration)
         this->gateway.configurationConfirmed(confirmedAt);
     if (stream == Stream::Claims)
-        this->election.caughtUp(end);
+        this->election.didReachEnd(end);
     if (stream == Stream::Plans && this->leadership)
         this->leadership->plansConfirmed(confirmedAt, now, this->clock.wall());
     if (stream != Stream::Jobs)
@@ -101,7 +101,7 @@
 void ControlLoop::streamFailed(Stream stream, const std::string& why, Millis now)
 {
     if (stream == Stream::Claims)
-        this->election.unreadUntil(now);
+        this->election.didRegainLog(now);
     this->metrics.count("rattan_store_failures_total", { { "stream", std::string(nameOf(stream)) } });
     bool& known = this->reachable[stream];
     if (known)
--- a/src/instance/control_loop_term.cc
+++ b/src/instance/control_loop_term.cc
@@ -18,7 +18,7 @@
     const bool isWeak = this->settings.processorShare < enoughToPlan;
     if (this->claimUnderWay || (isWeak && !this->election.leads(now) && now - this->claimsReader.confirmedAt() > weakClaimsTrusted))
         return;
-    if (this->election.wantsToClaim(now) && !this->readyToClaim(now))
+    if (this->election.wouldClaim(now) && !this->readyToClaim(now))
         return;
     if (const std::optional<tasks::Election::Append> append = this->election.step(now))
         this->sendClaim(*append);
@@ -37,7 +37,7 @@
 
 void ControlLoop::sendClaim(const tasks::Election::Append& append)
 {
-    http::Call call = this->protocols.store.append(Stream::Claims, { { std::string(claimKey), encodeClaim(append.claim), 0 } }, { .at = append.at, .producer = std::nullopt });
+    http::Call call = this->protocols.store.append(Stream::Claims, { { std::string(claimKey), encodeClaim(append.claim), 0 } }, { .at = append.offset, .producer = std::nullopt });
     call.purpose = "claim";
     call.address = this->settings.storeAddress;
     call.timeout = std::chrono::milliseconds(claimTimeout);
@@ -48,10 +48,10 @@
         this->claimUnderWay = false;
         const AppendStatus status = this->protocols.store.parseAppend(reply).status;
         const AppendOutcome outcome = status == AppendStatus::Appended ? AppendOutcome::Appended
-            : status == AppendStatus::Elsewhere                        ? AppendOutcome::Elsewhere
-            : status == AppendStatus::NotDone                          ? AppendOutcome::NotDone
+            : status == AppendStatus::Elsewhere                        ? AppendOutcome::EndMoved
+            : status == AppendStatus::NotDone                          ? AppendOutcome::NotAppended
                                                                        : AppendOutcome::Unknown;
-        this->election.appended(outcome, this->clock.now());
+        this->election.didAppend(outcome, this->clock.now());
     });
 }
 
@@ -85,7 +85,7 @@
             this->peerSocket.send(message.peer, message.text);
     }
     if (ownTerm == 0 && this->plannerWatch.plannerGone(now))
-        this->election.suspect(now);
+        this->election.suspectHolder(now);
 }
 
 // Where the holder of a claim takes datagrams: all instances use the same port.
--- a/src/instance/gateway.cc
+++ b/src/instance/gateway.cc
@@ -66,7 +66,7 @@
     if (!queue)
         return this->answer(ticket, question, { .outcome = Outcome::NoSuchQueue, .wantsStore = mayBeOutdated }, now);
     std::string workspace;
-    if (!queue->open) {
+    if (!queue->allowsAnonymous) {
         // A key that was taken away would go on working here for as long as this
         // instance does not hear of it.
         if (now - this->configurationConfirmedAt > this->options.configurationTrusted)
@@ -102,10 +102,10 @@
 
 void Gateway::submit(std::uint64_t ticket, Question question, const tasks::Queue& queue, std::string workspace, Millis now, Millis wall)
 {
-    question.record = tasks::keyText({ RecordKind::Job, question.job });
+    question.record = tasks::formatKey({ RecordKind::Job, question.job });
     if (this->jobs.find(question.job) || this->stored.contains(question.record))
         return this->answer(ticket, question, { .outcome = Outcome::Accepted }, now);
-    if (this->catalog->mostBodyBytes > 0 && static_cast<std::int64_t>(question.request.body.size()) > this->catalog->mostBodyBytes)
+    if (this->catalog->maxBodyBytes > 0 && static_cast<std::int64_t>(question.request.body.size()) > this->catalog->maxBodyBytes)
         return this->answer(ticket, question, { .outcome = Outcome::TooLarge }, now);
     Attempt<tasks::Job> job = attempt([&] { return this->protocol.parseJob(question.request.body); });
     if (!job.value)
@@ -126,8 +126,8 @@
     const JobEntry* entry = this->jobs.find(question.job);
     if (!entry)
         return this->tellState(ticket, std::move(question), now);
-    question.record = tasks::keyText({ RecordKind::Cancel, question.job });
-    if (entry->cancelled || isFinal(entry->shown()) || this->stored.contains(question.record))
+    question.record = tasks::formatKey({ RecordKind::Cancel, question.job });
+    if (entry->cancelled || isFinal(entry->visibleState()) || this->stored.contains(question.record))
         return this->answer(ticket, question, { .outcome = Outcome::Cancelled }, now);
     if (!this->storeInReach(now))
         return this->refuse(ticket, question, "the store is out of reach", now);
@@ -137,14 +137,14 @@
 void Gateway::tellState(std::uint64_t ticket, Question question, Millis now)
 {
     const JobEntry* entry = this->jobs.find(question.job);
-    if (entry && entry->shown() == JobState::Running && this->storeInReach(now)) {
+    if (entry && entry->visibleState() == JobState::Running && this->storeInReach(now)) {
         question.awaits = Awaits::End;
         question.answerBy = std::min(question.answerBy, now + this->options.endAwaited);
         this->questions.emplace(ticket, std::move(question));
         return;
     }
     if (entry)
-        return this->answer(ticket, question, { .outcome = Outcome::State, .state = entry->shown(), .wantsStore = !isFinal(entry->shown()) && !this->storeInReach(now) }, now);
+        return this->answer(ticket, question, { .outcome = Outcome::State, .state = entry->visibleState(), .wantsStore = !isFinal(entry->visibleState()) && !this->storeInReach(now) }, now);
     if (!this->storeInReach(now))
         return this->refuse(ticket, question, "the store is out of reach", now);
     question.awaits = Awaits::Reading;
@@ -217,9 +217,9 @@
 bool Gateway::knowsEnough(const Question& question, const JobEntry& entry) const
 {
     if (question.awaits == Awaits::End)
-        return isFinal(entry.shown());
+        return isFinal(entry.visibleState());
     if (question.request.kind == RequestKind::Cancel)
-        return entry.cancelled || isFinal(entry.shown());
+        return entry.cancelled || isFinal(entry.visibleState());
     return question.request.kind != RequestKind::Other;
 }
 
@@ -239,7 +239,7 @@
             continue;
         this->questions.erase(current);
         if (kind == RequestKind::State)
-            this->answer(ticket, copy, { .outcome = Outcome::State, .state = entry->shown() }, now);
+            this->answer(ticket, copy, { .outcome = Outcome::State, .state = entry->visibleState() }, now);
         else
             this->answer(ticket, copy, { .outcome = kind == RequestKind::Submit ? Outcome::Accepted : Outcome::Cancelled }, now);
     }
@@ -264,7 +264,7 @@
         else if (copy.request.kind == RequestKind::Cancel)
             this->cancel(ticket, copy, now);
         else
-            this->answer(ticket, copy, { .outcome = Outcome::State, .state = entry->shown() }, now);
+            this->answer(ticket, copy, { .outcome = Outcome::State, .state = entry->visibleState() }, now);
     }
 }
 
@@ -283,7 +283,7 @@
     for (const auto& [ticket, question] : this->take([&](const Question& row) { return now >= std::min(row.answerBy, this->lastAnswerAt); })) {
         const JobEntry* entry = question.awaits == Awaits::End ? this->jobs.find(question.job) : nullptr;
         if (entry)
-            this->answer(ticket, question, { .outcome = Outcome::State, .state = entry->shown() }, now);
+            this->answer(ticket, question, { .outcome = Outcome::State, .state = entry->visibleState() }, now);
         else
             this->refuse(ticket, question, "no answer from the store in time", now);
     }
@@ -305,7 +305,7 @@
 // Whoever cancels it must not hear that there is no such job, here or from another instance.
 bool Gateway::mayCome(const std::string& job) const
 {
-    return !this->jobs.find(job) && this->mayBeStored(tasks::keyText({ RecordKind::Job, job }));
+    return !this->jobs.find(job) && this->mayBeStored(tasks::formatKey({ RecordKind::Job, job }));
 }
 
 // "Not now" says that nothing was done and nothing will be. While a record of
@@ -315,8 +315,8 @@
 {
     const RequestKind kind = question.request.kind;
     const JobEntry* entry = this->jobs.find(question.job);
-    const bool perhaps = (kind == RequestKind::Submit && (entry || this->mayBeStored(tasks::keyText({ RecordKind::Job, question.job }))))
-        || (kind == RequestKind::Cancel && ((entry && entry->cancelled) || this->mayCome(question.job) || this->mayBeStored(tasks::keyText({ RecordKind::Cancel, question.job }))));
+    const bool perhaps = (kind == RequestKind::Submit && (entry || this->mayBeStored(tasks::formatKey({ RecordKind::Job, question.job }))))
+        || (kind == RequestKind::Cancel && ((entry && entry->cancelled) || this->mayCome(question.job) || this->mayBeStored(tasks::formatKey({ RecordKind::Cancel, question.job }))));
     this->answer(ticket, question, { .outcome = perhaps ? Outcome::Unknown : Outcome::NotNow, .retryAfter = retryElsewhere, .message = std::move(why), .wantsStore = true }, now);
 }
 
--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -203,7 +203,7 @@
 void Leadership::tellWorkers(Millis now)
 {
     this->listChanged = false;
-    std::vector<tasks::WorkerSighting> seen;
+    std::vector<tasks::WorkerDescription> seen;
     std::vector<delivery::WorkerPlace> places;
     for (const auto& [id, sighting] : this->sightings) {
         seen.push_back(sighting);
@@ -278,7 +278,7 @@
     http::Call call = this->services.workers.advise(order);
     call.purpose = "advice";
     call.address = this->services.settings.adviceAddress;
-    const Millis expected = order.terms.each + order.terms.perWorker * static_cast<Millis>(order.workers.size());
+    const Millis expected = order.terms.perRequest + order.terms.perWorker * static_cast<Millis>(order.workers.size());
     call.timeout = std::chrono::milliseconds(expected * adviceQueue) + adviceTimeout;
     call.connectTimeout = connectTimeout;
     this->services.client.send(std::move(call), [this, order](const http::Reply& reply) {
@@ -375,7 +375,7 @@
         target.erase(record.key);
         return;
     }
-    const Attempt<tasks::WorkerSighting> sighting = attempt([&] { return this->services.workers.parseSighting(record.key, record.value); });
+    const Attempt<tasks::WorkerDescription> sighting = attempt([&] { return this->services.workers.parseSighting(record.key, record.value); });
     if (sighting.value) {
         target[record.key] = *sighting.value;
         return;
--- a/src/instance/leadership.h
+++ b/src/instance/leadership.h
@@ -105,8 +105,8 @@
     delivery::DirectChannel direct;
     delivery::RelayedChannel channel;
     StreamReader workerList;
-    std::map<std::string, tasks::WorkerSighting> sightings;
-    std::map<std::string, tasks::WorkerSighting> loadingSightings;
+    std::map<std::string, tasks::WorkerDescription> sightings;
+    std::map<std::string, tasks::WorkerDescription> loadingSightings;
     bool loadingList { false };
     bool listChanged { false };
     WorkerClocks clocks;
--- a/src/instance/testing/gateway_test.cc
+++ b/src/instance/testing/gateway_test.cc
@@ -440,7 +440,7 @@
         queue.terms.queue = "q";
         catalog->queues.push_back(queue);
         catalog->workspaceOfKey[key] = "w";
-        catalog->mostBodyBytes = 1000;
+        catalog->maxBodyBytes = 1000;
         return catalog;
     }
 
--- a/src/tasks/advice.cc
+++ b/src/tasks/advice.cc
@@ -10,7 +10,7 @@
     return &found->second.ticket;
 }
 
-bool StepAdvice::isOpen(const Incarnation& incarnation, Millis until) const
+bool StepAdvice::needsRequest(const Incarnation& incarnation, Millis until) const
 {
     const auto found = this->verdicts.find(incarnation);
     return found == this->verdicts.end() || (found->second.allowed && found->second.until < until);
--- a/src/tasks/advice.h
+++ b/src/tasks/advice.h
@@ -49,11 +49,11 @@
     const std::string* ticketFor(const Incarnation& incarnation, Millis until) const;
 
     // True unless a verdict is known that holds until then.
-    bool isOpen(const Incarnation& incarnation, Millis until) const;
+    bool needsRequest(const Incarnation& incarnation, Millis until) const;
 
-    std::vector<Incarnation> underWay; // Named in the question that has no answer yet.
+    std::vector<Incarnation> requestedWorkers; // Named in the question that has no answer yet.
     Millis notBefore { 0 }; // No question before then.
-    std::int64_t askedIn { 0 }; // The last pass over all steps in which it had its question.
+    std::int64_t lastPass { 0 }; // The last pass over all steps in which it had its question.
 
 private:
     struct Verdict {
@@ -68,10 +68,10 @@
 namespace detail {
 
     // A worker that the advice service can be asked about.
-    struct Askable {
+    struct AdviceCandidate {
         const SnapshotWorker* worker { nullptr };
-        bool near { false }; // In the rack of the data.
-        bool free { false }; // For a member, now.
+        bool nearData { false }; // In the rack of the data.
+        bool fitsNow { false }; // For a member, now.
     };
 
 } // namespace detail
--- a/src/tasks/candidate.h
+++ b/src/tasks/candidate.h
@@ -2,15 +2,15 @@
 
 // A unit that waits, with its place in the queue of one round. See task_planner.h.
 
+#include "tasks/planner_state.h"
 #include "tasks/queue_order.h"
-#include "tasks/unit.h"
 
 namespace rattan::tasks::detail {
 
 struct Candidate {
     Unit* unit;
     QueueKey queueKey;
-    Millis waitedSince;
+    Millis waitingSince;
 };
 
 } // namespace rattan::tasks::detail
--- a/src/tasks/catalog.cc
+++ b/src/tasks/catalog.cc
@@ -38,7 +38,7 @@
     return found == this->workspaceOfKey.end() ? nullptr : &found->second;
 }
 
-std::int64_t Catalog::guaranteeOf(std::string_view workspace) const
+std::int64_t Catalog::guaranteedAcceleratorsOf(std::string_view workspace) const
 {
     for (const Workspace& rule : this->workspaces) {
         if (rule.name == workspace)
--- a/src/tasks/catalog.h
+++ b/src/tasks/catalog.h
@@ -16,7 +16,7 @@
 struct Queue {
     std::string host; // Of the URL; compared without regard to case or port.
     std::string pathPrefix; // Ends with a slash.
-    bool open { false }; // Needs no key.
+    bool allowsAnonymous { false }; // Needs no key.
     Millis timeout { 0 }; // Longest time that a call may take.
     QueueTerms terms;
 };
@@ -28,7 +28,7 @@
 
 struct Service {
     std::string name;
-    bool guardsRoom { false }; // Its workers refuse what does not fit.
+    bool enforcesCapacity { false }; // Its workers refuse what does not fit.
 };
 
 struct Catalog {
@@ -37,7 +37,7 @@
     std::vector<Workspace> workspaces;
     std::vector<Service> services;
     std::map<std::string, std::string, std::less<>> workspaceOfKey;
-    std::int64_t mostBodyBytes { 0 }; // 0: no limit in the text.
+    std::int64_t maxBodyBytes { 0 }; // 0: no limit in the text.
 
     // The queue with the longest prefix that the path begins with; null if none.
     const Queue* queueFor(std::string_view host, std::string_view path) const;
@@ -45,7 +45,7 @@
     // Null if nobody holds this key.
     const std::string* workspaceFor(std::string_view key) const;
 
-    std::int64_t guaranteeOf(std::string_view workspace) const;
+    std::int64_t guaranteedAcceleratorsOf(std::string_view workspace) const;
 };
 
 } // namespace rattan::tasks
--- a/src/tasks/crash_history.cc
+++ b/src/tasks/crash_history.cc
@@ -12,17 +12,17 @@
 
     constexpr std::array<std::string_view, 4> evidenceNames { "unproven", "late", "early", "alone" };
 
-    constexpr int enoughIfAlone = 2;
-    constexpr int many = 3;
-    constexpr int enoughEarly = 2; // Of so many.
-    constexpr std::int64_t mostRunsAfterMany = 2;
+    constexpr int crashesIfLastAlone = 2;
+    constexpr int crashesWithoutProof = 3;
+    constexpr int minEarlyCrashes = 2; // Of so many.
+    constexpr std::int64_t maxRunsAfterCrashes = 2;
 
-    struct Counts {
+    struct CrashCounts {
         int all { 0 };
         int proven { 0 };
         int early { 0 };
         bool lastAlone { false };
-        std::int64_t manyAt { 0 }; // The run that made them many.
+        std::int64_t limitReachedAt { 0 }; // The run that made them many.
 
         void add(std::int64_t run, CrashEvidence evidence)
         {
@@ -30,15 +30,15 @@
             this->proven += evidence != CrashEvidence::Unproven ? 1 : 0;
             this->early += evidence >= CrashEvidence::Early ? 1 : 0;
             this->lastAlone = evidence == CrashEvidence::Alone;
-            if (this->all == many)
-                this->manyAt = run;
+            if (this->all == crashesWithoutProof)
+                this->limitReachedAt = run;
         }
 
-        bool areEnough(std::int64_t lastRun) const
+        bool isEnough(std::int64_t lastRun) const
         {
-            if (this->lastAlone && this->proven >= enoughIfAlone)
+            if (this->lastAlone && this->proven >= crashesIfLastAlone)
                 return true;
-            return this->all >= many && (this->early >= enoughEarly || lastRun - this->manyAt >= mostRunsAfterMany);
+            return this->all >= crashesWithoutProof && (this->early >= minEarlyCrashes || lastRun - this->limitReachedAt >= maxRunsAfterCrashes);
         }
     };
 
@@ -48,13 +48,13 @@
 
 bool CrashHistory::add(const CrashedRun& crashed) { return this->crashes.try_emplace({ crashed.task, crashed.run }, crashed.evidence).second; }
 
-bool CrashHistory::isExhausted(std::int64_t lastRun) const
+bool CrashHistory::shouldGiveUp(std::int64_t lastRun) const
 {
-    std::map<std::int64_t, Counts> byTask;
+    std::map<std::int64_t, CrashCounts> byTask;
     for (const auto& [key, evidence] : this->crashes)
         byTask[key.first].add(key.second, evidence);
     for (const auto& [task, counts] : byTask) {
-        if (counts.areEnough(lastRun))
+        if (counts.isEnough(lastRun))
             return true;
     }
     return false;
--- a/src/tasks/crash_history.h
+++ b/src/tasks/crash_history.h
@@ -50,7 +50,7 @@
 
     // Some task has taken so many workers along that it must not be started again after
     // this run.
-    bool isExhausted(std::int64_t lastRun) const;
+    bool shouldGiveUp(std::int64_t lastRun) const;
 
     std::size_t size() const { return this->crashes.size(); }
     std::vector<CrashedRun> all() const;
--- a/src/tasks/election.h
+++ b/src/tasks/election.h
@@ -47,39 +47,39 @@
 
 enum class AppendOutcome {
     Appended,
-    Elsewhere, // The log did not end there: read on.
+    EndMoved, // The log did not end there: read on.
     Unknown, // May still be appended; a read will show it.
-    NotDone,
+    NotAppended,
 };
 
 class Election {
 public:
     struct Append {
         Claim claim;
-        std::int64_t at { 0 };
+        std::int64_t offset { 0 };
     };
 
     Election(ElectionOptions, Millis now);
 
     // The log of claims ends here and was read to its end.
-    void caughtUp(std::int64_t end);
-    void recordRead(const Claim&, std::int64_t offset, Millis now);
+    void didReachEnd(std::int64_t end);
+    void didReadClaim(const Claim&, std::int64_t offset, Millis now);
 
     // Whether this process would claim now, if it were ready to plan.
-    bool wantsToClaim(Millis now) const { return !this->underWay && this->end >= 0 && now >= this->nextRenewal && ((!this->holds && this->mayClaim(now)) || (this->holds && !this->resigning && this->lapsed(now))); }
+    bool wouldClaim(Millis now) const { return !this->pendingAppend && this->logEnd >= 0 && now >= this->nextRenewal && ((!this->isHolder && this->canClaim(now)) || (this->isHolder && !this->resigning && this->isTermOver(now))); }
 
     // The next claim to append, at most one at a time.
     std::optional<Append> step(Millis now);
-    void appended(AppendOutcome, Millis now);
+    void didAppend(AppendOutcome, Millis now);
 
     // The log could not be read until now. Whoever comes back first is as likely as not
     // one that should leave planning to others, so its jitter counts from here.
-    void unreadUntil(Millis now) { this->regainedAt = now; }
+    void didRegainLog(Millis now) { this->logRegainedAt = now; }
 
     // The holder is taken as gone: its term need not be waited for. Until the next claim
     // is read. Two may then lead for a moment, the earlier one without effect: workers
     // that the later one has asked, and the store, refuse its lower term.
-    void suspect(Millis now)
+    void suspectHolder(Millis now)
     {
         if (this->suspectedAt == 0)
             this->suspectedAt = now;
@@ -87,10 +87,10 @@
 
     // Half the term has passed since the last renewal that had an effect, and the last
     // try had none, as far as is known.
-    bool renewalFailed() const { return this->holds && this->failedInTerm == this->newest.term; }
+    bool renewalFailed() const { return this->isHolder && this->failedRenewalTerm == this->newest.term; }
 
     // Gives the term up: the next append is a claim without holder.
-    void resign() { this->resigning = this->holds; }
+    void resign() { this->resigning = this->isHolder; }
 
     // Gives the term up and never claims again; for a process that ends.
     void retire()
@@ -101,37 +101,37 @@
 
     bool leads(Millis now) const
     {
-        return this->holds && !this->resigning && this->confirmedTerm == this->newest.term && now < this->leadsUntil;
+        return this->isHolder && !this->resigning && this->confirmedTerm == this->newest.term && now < this->termEnd;
     }
     std::int64_t term() const { return this->newest.term; }
 
     // When the term ends unless it is renewed; meaningful while this process leads.
-    Millis leadsUntilTime() const { return this->leadsUntil; }
+    Millis termEndTime() const { return this->termEnd; }
     const Claim& newestClaim() const { return this->newest; }
 
 private:
-    bool mayClaim(Millis now) const;
+    bool canClaim(Millis now) const;
     bool heldByPredecessor() const;
-    bool lapsed(Millis now) const;
+    bool isTermOver(Millis now) const;
     void confirm(std::int64_t term, Millis from, Millis now);
     Append propose(Claim, Millis now);
 
     const ElectionOptions options;
     Claim newest;
-    std::int64_t end { -1 }; // Of the log, as far as read; below 0: not read yet.
+    std::int64_t logEnd { -1 }; // Of the log, as far as read; below 0: not read yet.
     Millis newestReadAt { 0 };
-    bool holds { false }; // The newest claim is ours and of this process.
+    bool isHolder { false }; // The newest claim is ours and of this process.
     bool resigning { false }; // Until the log shows that the term is given up.
     bool retired { false };
-    Millis regainedAt { 0 };
+    Millis logRegainedAt { 0 };
     Millis suspectedAt { 0 }; // Since when the present holder is taken as gone; 0: it is not.
-    std::int64_t failedInTerm { 0 }; // In which the last try to renew failed.
-    Millis leadsUntil { 0 }; // Of confirmedTerm.
+    std::int64_t failedRenewalTerm { 0 }; // In which the last try to renew failed.
+    Millis termEnd { 0 }; // Of confirmedTerm.
     std::int64_t confirmedTerm { 0 }; // The last term in which this process led.
-    std::optional<Append> underWay;
-    Millis sentAt { 0 };
-    std::optional<Claim> tried; // The last one proposed, unless no try of it can lie in the log.
-    Millis triedFrom { 0 }; // When the first try of it was sent.
+    std::optional<Append> pendingAppend;
+    Millis proposalLastSentAt { 0 };
+    std::optional<Claim> lastProposal; // The last one proposed, unless no try of it can lie in the log.
+    Millis proposalFirstSentAt { 0 }; // When the first try of it was sent.
     Millis nextRenewal { 0 };
 };
 
--- a/src/tasks/learned.cc
+++ b/src/tasks/estimates_record.cc
@@ -1,4 +1,4 @@
-#include "tasks/learned.h"
+#include "tasks/estimates_record.h"
 
 #include "base/json.h"
 
@@ -21,18 +21,18 @@
 
 } // namespace
 
-std::string encodeLearned(const RunTimes& runTimes, const WorkerSpeeds& speeds)
+std::string encodeEstimates(const RunTimes& runTimes, const WorkerSpeeds& speeds)
 {
     Json queues = Json::object();
     for (const auto& [name, queue] : runTimes.all())
-        queues[name] = Json::array({ meanJson(queue.took), meanJson(queue.against) });
+        queues[name] = Json::array({ meanJson(queue.logWork), meanJson(queue.logRatio) });
     Json workers = Json::object();
     for (const auto& [id, estimate] : speeds.all())
-        workers[id] = Json::array({ rounded(estimate.log), rounded(estimate.weight) });
+        workers[id] = Json::array({ rounded(estimate.logSpeed), rounded(estimate.weight) });
     return Json { { "queues", std::move(queues) }, { "speeds", std::move(workers) } }.dump();
 }
 
-void restoreLearned(std::string_view record, RunTimes& runTimes, WorkerSpeeds& speeds)
+void restoreEstimates(std::string_view record, RunTimes& runTimes, WorkerSpeeds& speeds)
 {
     const Json json = Json::parse(record, nullptr, false);
     if (!json.is_object())
--- a/src/tasks/learned.h
+++ b/src/tasks/estimates_record.h
@@ -11,10 +11,10 @@
 
 namespace rattan::tasks {
 
-std::string encodeLearned(const RunTimes&, const WorkerSpeeds&);
+std::string encodeEstimates(const RunTimes&, const WorkerSpeeds&);
 
 // A record that cannot be read leaves both as they are: everything in it can be
 // learned again.
-void restoreLearned(std::string_view record, RunTimes&, WorkerSpeeds&);
+void restoreEstimates(std::string_view record, RunTimes&, WorkerSpeeds&);
 
 } // namespace rattan::tasks
--- a/src/tasks/eviction.h
+++ b/src/tasks/eviction.h
@@ -8,7 +8,7 @@
 // needed; a gang counts with the work of all its members, since all of them are
 // lost, and what else it held counts as room for the other members of the unit.
 
-#include "tasks/placing.h"
+#include "tasks/placement.h"
 
 #include <functional>
 #include <vector>
@@ -16,17 +16,17 @@
 namespace rattan::tasks {
 
 struct EvictionPlan {
-    Places places; // Where the unit goes once the victims have ended.
+    Placement placement; // Where the unit goes once the victims have ended.
     std::vector<UnitKey> victims;
     double lostWork { 0 }; // In core-seconds.
 };
 
 // What stopping the unit of a run would lose, in core-seconds; negative: must not be stopped.
 // The same for all runs of a unit.
-using LostWork = std::function<double(const Allocation&)>;
+using LostWorkFunction = std::function<double(const Allocation&)>;
 
 // Empty when no choice of victims makes room, or every one loses more than
 // `mostLost` core-seconds.
-std::optional<EvictionPlan> planEviction(const Snapshot&, const PlacementRequest&, const LostWork&, double mostLost);
+std::optional<EvictionPlan> planEviction(const Snapshot&, const PlacementRequest&, const LostWorkFunction&, double maxLostWork);
 
 } // namespace rattan::tasks
--- a/src/tasks/job.cc
+++ b/src/tasks/job.cc
@@ -2,7 +2,7 @@
 
 namespace rattan::tasks {
 
-Room& Room::operator+=(const Room& other)
+Resources& Resources::operator+=(const Resources& other)
 {
     this->milliCores += other.milliCores;
     this->memoryMb += other.memoryMb;
@@ -10,7 +10,7 @@
     return *this;
 }
 
-Room& Room::operator-=(const Room& other)
+Resources& Resources::operator-=(const Resources& other)
 {
     this->milliCores -= other.milliCores;
     this->memoryMb -= other.memoryMb;
@@ -18,19 +18,19 @@
     return *this;
 }
 
-Room Room::times(std::int64_t count) const
+Resources Resources::times(std::int64_t count) const
 {
     return { this->milliCores * count, this->memoryMb * count, this->accelerators * count };
 }
 
-bool Room::within(const Room& other) const
+bool Resources::fitsIn(const Resources& other) const
 {
     return this->milliCores <= other.milliCores && this->memoryMb <= other.memoryMb && this->accelerators <= other.accelerators;
 }
 
-double weightOf(const Room& room)
+double coreEquivalents(const Resources& resources)
 {
-    return static_cast<double>(room.milliCores) / 1000.0 + static_cast<double>(room.accelerators * coresPerAccelerator);
+    return static_cast<double>(resources.milliCores) / 1000.0 + static_cast<double>(resources.accelerators * coresPerAccelerator);
 }
 
 } // namespace rattan::tasks
--- a/src/tasks/job.h
+++ b/src/tasks/job.h
@@ -14,29 +14,29 @@
 namespace rattan::tasks {
 
 // What a task takes on a worker, or a worker has.
-struct Room {
+struct Resources {
     std::int64_t milliCores { 0 };
     std::int64_t memoryMb { 0 };
     std::int64_t accelerators { 0 };
 
-    bool operator==(const Room&) const = default;
-    Room& operator+=(const Room&);
-    Room& operator-=(const Room&);
-    Room times(std::int64_t) const;
+    bool operator==(const Resources&) const = default;
+    Resources& operator+=(const Resources&);
+    Resources& operator-=(const Resources&);
+    Resources times(std::int64_t) const;
 
     // Every amount at most as large as in `other`.
-    bool within(const Room& other) const;
+    bool fitsIn(const Resources& other) const;
 };
 
 // Cores that an accelerator stands for where work of both is compared.
 inline constexpr std::int64_t coresPerAccelerator = 8;
 
 // One figure for how much a room is, in cores.
-double weightOf(const Room&);
+double coreEquivalents(const Resources&);
 
 struct Step {
     std::int64_t count { 1 }; // Tasks.
-    Room each; // Taken by one task.
+    Resources perTask; // Taken by one task.
     Millis estimate { 0 }; // Run time as the caller declares it; often far off.
     std::vector<std::int64_t> dependsOn; // Numbers of earlier steps.
     bool savesProgress { false }; // Tasks make checkpoints that a later run may start from.
@@ -44,22 +44,22 @@
     bool sameRack { false }; // Across racks the step is several times slower.
     std::string label; // That a worker must carry; empty: any.
     std::string dataRack; // Elsewhere the step is several times slower; empty: nowhere.
-    std::int64_t mostPerWorker { 0 }; // Tasks of an occurrence on one worker; 0: any number.
+    std::int64_t maxPerWorker { 0 }; // Tasks of an occurrence on one worker; 0: any number.
     bool speculative { false }; // Copies of a task may run side by side.
     bool longRunning { false }; // Runs until the job is cancelled.
-    bool fills { false }; // Uses only cores that others leave idle.
+    bool usesIdleCores { false }; // Uses only cores that others leave idle.
     std::string image; // Tasks of one image behave alike.
     Millis tailTarget { 0 }; // Longest tail latency of a serving task; 0: none.
-    std::int64_t mayMiss { 0 }; // Tasks that planned stops may take away at once.
+    std::int64_t maxUnavailable { 0 }; // Tasks that planned stops may take away at once.
 
     bool operator==(const Step&) const = default;
 };
 
 // How long the advice service takes, and how long what it says holds.
 struct AdviceTerms {
-    Millis each { 0 }; // For any question,
+    Millis perRequest { 0 }; // For any question,
     Millis perWorker { 0 }; // and for each worker named in it.
-    Millis valid { 0 }; // Of a ticket; 0: the queue has no policy.
+    Millis ticketValidity { 0 }; // Of a ticket; 0: the queue has no policy.
 
     bool operator==(const AdviceTerms&) const = default;
 };
@@ -69,7 +69,7 @@
     std::string queue;
     std::string service; // Whose workers run the tasks.
     std::int64_t priority { 0 }; // 0 goes first.
-    std::int64_t mostAttempts { 1 }; // Failed runs of a task before the job is given up.
+    std::int64_t maxAttempts { 1 }; // Failed runs of a task before the job is given up.
     double stretch { 1.0 }; // Wanted: done within this many times its longest chain of work,
     Millis latencyTarget { 0 }; // and this much more.
     AdviceTerms advice; // Where a policy outside decides which workers may run a step.
--- a/src/tasks/job_table.cc
+++ b/src/tasks/job_table.cc
@@ -2,7 +2,7 @@
 
 namespace rattan::tasks {
 
-JobState JobEntry::shown() const
+JobState JobEntry::visibleState() const
 {
     if (isFinal(this->state))
         return this->state;
@@ -12,17 +12,17 @@
 std::optional<JobTable::Change> JobTable::apply(std::string_view key, std::string_view value, std::int64_t offset, Millis now)
 {
     const Attempt<RecordKey> parsed = attempt([&] { return parseKey(key); });
-    const RecordKind kind = parsed.value ? parsed.value->kind : RecordKind::Learned;
+    const RecordKind kind = parsed.value ? parsed.value->kind : RecordKind::Estimates;
     if (kind != RecordKind::Job && kind != RecordKind::Cancel && kind != RecordKind::State) {
         ++this->unreadableRecords;
         return std::nullopt;
     }
     JobEntry& entry = this->entries[parsed.value->job];
-    std::int64_t& known = kind == RecordKind::Job ? entry.jobOffset : kind == RecordKind::Cancel ? entry.cancelOffset
-                                                                                                 : entry.stateOffset;
-    if (offset <= known)
+    std::int64_t& lastOffset = kind == RecordKind::Job ? entry.jobOffset : kind == RecordKind::Cancel ? entry.cancelOffset
+                                                                                                      : entry.stateOffset;
+    if (offset <= lastOffset)
         return std::nullopt;
-    known = offset;
+    lastOffset = offset;
     if (value.empty()) {
         if (kind == RecordKind::Job)
             this->entries.erase(parsed.value->job);
@@ -47,7 +47,7 @@
         }
         entry.state = *state.value;
     }
-    if (entry.finalSince == 0 && isFinal(entry.shown()))
+    if (entry.finalSince == 0 && isFinal(entry.visibleState()))
         entry.finalSince = now;
     return Change { kind, parsed.value->job };
 }
@@ -62,7 +62,7 @@
 {
     std::int64_t count = 0;
     for (const auto& [id, entry] : this->entries) {
-        if (entry.job && entry.job->terms.queue == queue && entry.shown() == JobState::Queued)
+        if (entry.job && entry.job->terms.queue == queue && entry.visibleState() == JobState::Queued)
             ++count;
     }
     return count;
--- a/src/tasks/job_table.h
+++ b/src/tasks/job_table.h
@@ -27,7 +27,7 @@
     Millis finalSince { 0 }; // Local time at which a final state was first seen; 0: not final.
 
     // What a caller is shown.
-    JobState shown() const;
+    JobState visibleState() const;
 };
 
 class JobTable {
--- /dev/null
+++ b/src/tasks/placement.cc
@@ -0,0 +1,408 @@
+// Members are placed one after the other on the worker that is left with least:
+// fewest free accelerators, then least free memory. For members of equal size
+// this packs as tightly as trying all orders would, since only how many fit on
+// each worker counts. A gang that must share a rack takes the fullest rack that
+// holds it, so that empty racks stay whole for larger gangs.
+
+#include "tasks/placement.h"
+
+#include <algorithm>
+#include <array>
+#include <limits>
+#include <map>
+#include <string_view>
+#include <tuple>
+
+namespace rattan::tasks {
+
+namespace {
+
+    // Workers between these are of the usual speed. Estimates are off by about a
+    // twentieth once a worker has ended a dozen runs.
+    constexpr double minUsualSpeed = 0.92;
+    constexpr double minFastSpeed = 1.1;
+    constexpr double maxAnySpeed = 100;
+
+    constexpr std::int64_t unlimited = std::numeric_limits<std::int64_t>::max() / 4;
+
+    std::int64_t fittingCount(std::int64_t available, std::int64_t perMember)
+    {
+        if (perMember <= 0)
+            return unlimited;
+        return available < 0 ? 0 : available / perMember;
+    }
+
+    std::int64_t fittingCount(const Resources& available, const Resources& perMember)
+    {
+        return std::min({ fittingCount(available.milliCores, perMember.milliCores), fittingCount(available.memoryMb, perMember.memoryMb),
+            fittingCount(available.accelerators, perMember.accelerators) });
+    }
+
+    Resources componentMin(const Resources& left, const Resources& right)
+    {
+        return { std::min(left.milliCores, right.milliCores), std::min(left.memoryMb, right.memoryMb),
+            std::min(left.accelerators, right.accelerators) };
+    }
+
+    bool contains(const std::vector<std::string>* list, const std::string& text)
+    {
+        return list && std::find(list->begin(), list->end(), text) != list->end();
+    }
+
+    std::int64_t countAt(const WorkerCounts& counts, const std::string& worker)
+    {
+        const auto found = counts.find(worker);
+        return found == counts.end() ? 0 : found->second;
+    }
+
+    enum class SpeedClass {
+        Slow,
+        Usual,
+        Fast,
+    };
+
+    SpeedClass speedClassOf(const SnapshotWorker& worker)
+    {
+        if (worker.speed < minUsualSpeed)
+            return SpeedClass::Slow;
+        return worker.speed < minFastSpeed ? SpeedClass::Usual : SpeedClass::Fast;
+    }
+
+    // Of a worker once a member was placed on it: smaller is the better choice.
+    struct FitRank {
+        bool reservationMismatch; // Kept for others, or not where urgent units are wanted.
+        std::int64_t accelerators;
+        std::int64_t memoryMb;
+
+        // clang-tidy 14 takes the zero that a defaulted comparison is held against for a pointer.
+        auto operator<=>(const FitRank&) const = default; // NOLINT(modernize-use-nullptr)
+    };
+
+} // namespace
+
+bool Snapshot::isEligible(const SnapshotWorker& worker, const PlacementRequest& request) const
+{
+    if (!request.label.empty() && !contains(worker.labels, request.label))
+        return false;
+    if (request.allowedWorkers && !request.allowedWorkers->contains(worker.id))
+        return false;
+    return !contains(request.excludedWorkers, worker.id);
+}
+
+bool Snapshot::respectsIsolation(const SnapshotWorker& worker, const PlacementRequest& request) const
+{
+    if (request.isolatedJob.empty())
+        return worker.isolatedJob.empty();
+    if (request.isolatedWorkers)
+        return request.isolatedWorkers->contains(worker.id);
+    return worker.isolatedJob.empty() && worker.allocations.empty() && worker.free == worker.capacity;
+}
+
+bool Snapshot::respectsReservation(const SnapshotWorker& worker, const PlacementRequest& request, std::int64_t count) const
+{
+    if (!worker.reservedFrom || this->now + request.expectedRunTime <= *worker.reservedFrom)
+        return true;
+    return request.perMember.times(count).fitsIn(worker.freeBesideReservation);
+}
+
+std::int64_t Snapshot::countFitting(const SnapshotWorker& worker, const PlacementRequest& request, View view) const
+{
+    if (!this->isEligible(worker, request))
+        return 0;
+    if (view != View::Empty && (worker.speed < request.minSpeed || worker.speed > request.maxSpeed))
+        return 0;
+    if (view != View::Empty && !this->respectsIsolation(worker, request))
+        return 0;
+    const bool isExcluded = worker.urgentOnly && !request.urgent && worker.rack != request.rack;
+    if (isExcluded && view != View::Empty)
+        return 0;
+    const Resources available = view == View::Empty ? worker.capacity : view == View::AfterStops ? worker.freeAfterStops
+                                                                                                 : componentMin(worker.free, worker.freeAfterStops);
+    std::int64_t count = std::min(fittingCount(available, request.perMember), request.members);
+    if (request.maxPerWorker > 0) {
+        std::int64_t running = 0;
+        if (request.siblingCounts && view != View::Empty)
+            running = countAt(*request.siblingCounts, worker.id);
+        count = std::min(count, std::max<std::int64_t>(request.maxPerWorker - running, 0));
+    }
+    if (worker.isProbing && view != View::Empty)
+        count = std::min<std::int64_t>(count, 1);
+    if (view == View::Free) {
+        while (count > 0 && !this->respectsReservation(worker, request, count))
+            --count;
+    }
+    return count;
+}
+
+std::optional<Placement> Snapshot::findWithin(const PlacementRequest& request, View view, const std::string* rack) const
+{
+    struct Choice {
+        std::size_t index;
+        std::int64_t count;
+        FitRank rank;
+    };
+    std::vector<Choice> choices;
+    std::int64_t total = 0;
+    for (std::size_t i = 0; i < this->workers.size(); ++i) {
+        const SnapshotWorker& worker = this->workers[i];
+        if (rack && worker.rack != *rack)
+            continue;
+        const std::int64_t count = this->countFitting(worker, request, view);
+        if (count <= 0)
+            continue;
+        const Resources& available = view == View::AfterStops ? worker.freeAfterStops : worker.free;
+        choices.push_back({ i, count, { worker.reservedForUrgent != request.urgent, available.accelerators - count * request.perMember.accelerators, available.memoryMb - count * request.perMember.memoryMb } });
+        total += count;
+    }
+    if (total < request.members)
+        return std::nullopt;
+    if (request.members == 1)
+        return Placement { std::min_element(choices.begin(), choices.end(), [](const Choice& a, const Choice& b) { return a.rank < b.rank; })->index };
+    std::stable_sort(choices.begin(), choices.end(), [](const Choice& a, const Choice& b) { return a.rank < b.rank; });
+    Placement placement;
+    for (const Choice& choice : choices) {
+        for (std::int64_t i = 0; i < choice.count && static_cast<std::int64_t>(placement.size()) < request.members; ++i)
+            placement.push_back(choice.index);
+    }
+    return placement;
+}
+
+std::optional<Placement> Snapshot::find(const PlacementRequest& request, View view) const
+{
+    if (!request.rack.empty())
+        return this->findWithin(request, view, &request.rack);
+    if (!request.sameRack || request.members == 1)
+        return this->findWithin(request, view, nullptr);
+    struct RackCapacity {
+        std::int64_t members { 0 };
+        std::int64_t reservedWorkers { 0 }; // Workers.
+        std::int64_t workers { 0 };
+    };
+    std::map<std::string, RackCapacity> racks;
+    for (const SnapshotWorker& worker : this->workers) {
+        RackCapacity& capacity = racks[worker.rack];
+        capacity.members += this->countFitting(worker, request, view);
+        capacity.reservedWorkers += worker.reservedForUrgent ? 1 : 0;
+        ++capacity.workers;
+    }
+    const std::string* best = nullptr;
+    std::pair<bool, std::int64_t> bestRank { true, unlimited };
+    for (const auto& [rack, capacity] : racks) {
+        const std::pair<bool, std::int64_t> rank { (capacity.reservedWorkers * 2 > capacity.workers) != request.urgent, capacity.members };
+        if (capacity.members >= request.members && rank < bestRank) {
+            best = &rack;
+            bestRank = rank;
+        }
+    }
+    return best ? this->findWithin(request, view, best) : std::nullopt;
+}
+
+std::optional<Placement> Snapshot::findFree(const PlacementRequest& request) const { return this->find(request, View::Free); }
+
+std::optional<Placement> Snapshot::findFreeBySpeed(const PlacementRequest& request) const
+{
+    struct Range {
+        double min;
+        double max;
+    };
+    constexpr std::array<Range, 2> urgentSpeeds { { { minFastSpeed, maxAnySpeed }, { minUsualSpeed, maxAnySpeed } } };
+    constexpr std::array<Range, 3> nonUrgentSpeeds { { { 0, minUsualSpeed }, { minUsualSpeed, minFastSpeed }, { minUsualSpeed, maxAnySpeed } } };
+    const auto search = [&](const auto& ranges) {
+        std::optional<Placement> found;
+        for (const Range& range : ranges) {
+            PlacementRequest limited = request;
+            limited.minSpeed = range.min;
+            limited.maxSpeed = range.max;
+            found = this->findFree(limited);
+            if (found)
+                break;
+        }
+        return found;
+    };
+    std::optional<Placement> found;
+    if (request.urgent)
+        found = search(urgentSpeeds);
+    else if (request.members > 1)
+        found = search(nonUrgentSpeeds);
+    return found ? found : this->findFree(request);
+}
+
+std::optional<Placement> Snapshot::findAfterStops(const PlacementRequest& request) const { return this->find(request, View::AfterStops); }
+
+// Asked for every unit of a round, so it looks no further than it must.
+bool Snapshot::fitsWhenEmpty(const PlacementRequest& request) const
+{
+    const bool oneRack = request.rack.empty() && request.sameRack && request.members > 1;
+    std::map<std::string_view, std::int64_t> members; // By rack, or of all.
+    for (const SnapshotWorker& worker : this->workers) {
+        if (!request.rack.empty() && worker.rack != request.rack)
+            continue;
+        std::int64_t& sum = members[oneRack ? std::string_view(worker.rack) : std::string_view()];
+        sum += this->countFitting(worker, request, View::Empty);
+        if (sum >= request.members)
+            return true;
+    }
+    return false;
+}
+
+Snapshot::AvailableMembers Snapshot::countAvailableMembers(const PlacementRequest& request) const
+{
+    AvailableMembers sum;
+    for (const SnapshotWorker& worker : this->workers) {
+        if (this->isEligible(worker, request))
+            sum.free += std::min(fittingCount(worker.free, request.perMember), request.members);
+        sum.unreserved += this->countFitting(worker, request, View::Unreserved);
+        sum.startable += this->countFitting(worker, request, View::Free);
+        sum.afterStops += this->countFitting(worker, request, View::AfterStops);
+    }
+    return sum;
+}
+
+bool Snapshot::fitsOnUnpolledWorkers(const PlacementRequest& request) const
+{
+    std::int64_t members = 0;
+    for (const SnapshotWorker& worker : this->unpolled) {
+        if (request.rack.empty() || worker.rack == request.rack)
+            members += this->countFitting(worker, request, View::Empty);
+    }
+    return members >= request.members;
+}
+
+bool FailedRequests::covers(const PlacementRequest& request) const
+{
+    return std::any_of(this->requests.begin(), this->requests.end(), [&](const PlacementRequest& failed) {
+        // Workers that are kept for urgent units are open to those whose data lies beside them.
+        const bool sameWorkers = failed.rack == request.rack || (failed.rack.empty() && request.urgent);
+        const bool looser = sameWorkers && (!failed.sameRack || request.sameRack || !request.rack.empty());
+        return failed.urgent == request.urgent && failed.members <= request.members && failed.perMember.fitsIn(request.perMember) && looser
+            && (failed.label.empty() || failed.label == request.label) && failed.expectedRunTime <= request.expectedRunTime;
+    });
+}
+
+void Snapshot::reserveForUrgent(std::int64_t accelerators)
+{
+    std::int64_t total = 0;
+    std::int64_t free = 0;
+    std::vector<SnapshotWorker*> bySpeed;
+    for (SnapshotWorker& worker : this->workers) {
+        total += worker.capacity.accelerators;
+        free += worker.free.accelerators;
+        bySpeed.push_back(&worker);
+    }
+    // With half of everything idle there is room for all; closing some would only
+    // make large units wait for nothing.
+    const bool isBusy = free * 2 <= total;
+    const std::int64_t maxReserved = std::min(accelerators, total / 2);
+    // Among workers of one pace by rack and name, so that whole racks are kept, and
+    // the same ones from one round to the next.
+    std::sort(bySpeed.begin(), bySpeed.end(), [](const SnapshotWorker* a, const SnapshotWorker* b) {
+        const SpeedClass left = speedClassOf(*a);
+        const SpeedClass right = speedClassOf(*b);
+        return std::tie(right, b->rack, b->id) < std::tie(left, a->rack, a->id);
+    });
+    std::int64_t reserved = 0;
+    for (SnapshotWorker* worker : bySpeed) {
+        if (reserved >= maxReserved)
+            break;
+        worker->reservedForUrgent = true;
+        worker->urgentOnly = isBusy;
+        reserved += worker->capacity.accelerators;
+    }
+}
+
+void Snapshot::allocate(const PlacementRequest& request, const Placement& placement)
+{
+    for (const std::size_t index : placement) {
+        SnapshotWorker& worker = this->workers[index];
+        worker.free -= request.perMember;
+        worker.freeAfterStops -= request.perMember;
+        if (worker.reservedFrom && this->now + request.expectedRunTime > *worker.reservedFrom)
+            worker.freeBesideReservation -= request.perMember;
+        worker.isolatedJob = request.isolatedJob;
+        if (worker.isProbing)
+            worker.freeAfterStops = {};
+    }
+}
+
+void Snapshot::allocateAfterStops(const PlacementRequest& request, const Placement& placement)
+{
+    for (const std::size_t index : placement)
+        this->workers[index].freeAfterStops -= request.perMember;
+}
+
+void Snapshot::markStopping(const UnitKey& unit, const std::vector<Incarnation>& incarnations)
+{
+    for (const Incarnation& incarnation : incarnations) {
+        const auto worker = std::lower_bound(this->workers.begin(), this->workers.end(), incarnation.id, [](const SnapshotWorker& row, const std::string& id) { return row.id < id; });
+        if (worker == this->workers.end() || worker->id != incarnation.id)
+            continue;
+        for (Allocation& allocation : worker->allocations) {
+            if (allocation.stopping || !allocation.unit || *allocation.unit != unit)
+                continue;
+            allocation.stopping = true;
+            worker->freeAfterStops += allocation.resources;
+        }
+    }
+}
+
+void Snapshot::reserve(const PlacementRequest& request)
+{
+    // When would each worker have room for one member, if nothing new started?
+    struct Opening {
+        Millis at;
+        std::size_t index;
+    };
+    std::map<std::string, std::vector<Opening>> byRack;
+    const bool oneRack = !request.rack.empty() || (request.sameRack && request.members > 1);
+    for (std::size_t i = 0; i < this->workers.size(); ++i) {
+        const SnapshotWorker& worker = this->workers[i];
+        if (!this->isEligible(worker, request) || worker.reservedFrom || (!request.rack.empty() && worker.rack != request.rack))
+            continue;
+        std::vector<Allocation> allocations = worker.allocations;
+        std::sort(allocations.begin(), allocations.end(), [](const Allocation& a, const Allocation& b) { return a.expectedEnd < b.expectedEnd; });
+        Resources free = componentMin(worker.free, worker.freeAfterStops);
+        std::int64_t counted = 0;
+        std::vector<Opening>& openings = byRack[oneRack ? worker.rack : std::string()];
+        const auto addOpenings = [&](Millis at) {
+            std::int64_t count = std::min(fittingCount(free, request.perMember), request.members);
+            if (request.maxPerWorker > 0)
+                count = std::min(count, request.maxPerWorker);
+            for (; counted < count; ++counted)
+                openings.push_back({ at, i });
+        };
+        addOpenings(this->now);
+        for (const Allocation& allocation : allocations) {
+            free += allocation.resources;
+            addOpenings(std::max(allocation.expectedEnd, this->now));
+        }
+    }
+    // The rack in which all members can begin first.
+    const std::vector<Opening>* best = nullptr;
+    Millis earliestStart = std::numeric_limits<Millis>::max();
+    for (auto& [rack, openings] : byRack) {
+        if (static_cast<std::int64_t>(openings.size()) < request.members)
+            continue;
+        std::stable_sort(openings.begin(), openings.end(), [](const Opening& a, const Opening& b) { return a.at < b.at; });
+        const Millis at = openings[static_cast<std::size_t>(request.members - 1)].at;
+        if (at < earliestStart) {
+            best = &openings;
+            earliestStart = at;
+        }
+    }
+    if (!best)
+        return;
+    for (std::int64_t i = 0; i < request.members; ++i) {
+        SnapshotWorker& worker = this->workers[(*best)[static_cast<std::size_t>(i)].index];
+        if (!worker.reservedFrom) {
+            worker.reservedFrom = earliestStart;
+            worker.freeBesideReservation = componentMin(worker.free, worker.freeAfterStops);
+            for (const Allocation& allocation : worker.allocations) {
+                if (allocation.expectedEnd <= earliestStart)
+                    worker.freeBesideReservation += allocation.resources;
+            }
+        }
+        worker.freeBesideReservation -= request.perMember;
+    }
+}
+
+} // namespace rattan::tasks
--- a/src/tasks/placing.h
+++ b/src/tasks/placement.h
@@ -31,9 +31,9 @@
 // A run that takes room, as far as choosing whom to stop needs it.
 struct Allocation {
     const UnitKey* unit { nullptr }; // One object for all runs of a unit; null: its unit is over.
-    Room room;
-    Millis endsAt { 0 }; // Expected.
-    bool ending { false }; // Already being stopped.
+    Resources resources;
+    Millis expectedEnd { 0 }; // Expected.
+    bool stopping { false }; // Already being stopped.
     double lostWork { 0 }; // In core-seconds, if its unit is stopped.
     std::int64_t priority { 0 };
     bool guaranteed { false }; // Within its workspace's guarantee.
@@ -44,18 +44,18 @@
     std::string rack;
     const std::vector<std::string>* labels { nullptr };
     double speed { 1 }; // Against the usual one.
-    Room capacity;
-    Room free;
-    Room afterStops;
-    std::string isolatedFor; // The job whose suspect tasks run there alone; empty: none.
-    bool oneMore { false }; // On trial: takes one unit and no more.
-    bool kept { false }; // For urgent units; others go there last,
-    bool closed { false }; // or not at all.
+    Resources capacity;
+    Resources free;
+    Resources freeAfterStops;
+    std::string isolatedJob; // The job whose suspect tasks run there alone; empty: none.
+    bool isProbing { false }; // On trial: takes one unit and no more.
+    bool reservedForUrgent { false }; // For urgent units; others go there last,
+    bool urgentOnly { false }; // or not at all.
     std::vector<Allocation> allocations;
 
     // Room promised to a unit that waits for running ones to end, from then on.
-    std::optional<Millis> promisedFrom;
-    Room leftThen; // Of what is free by then, after the promise.
+    std::optional<Millis> reservedFrom;
+    Resources freeBesideReservation; // Of what is free by then, after the promise.
 };
 
 // How many of something each worker has; by id.
@@ -64,34 +64,34 @@
 // What a unit asks for.
 struct PlacementRequest {
     std::int64_t members { 1 };
-    Room each;
+    Resources perMember;
     std::string label;
     std::string rack; // Where its data lies; empty: anywhere.
     bool sameRack { false };
-    std::int64_t mostPerWorker { 0 };
-    const std::set<std::string>* allowed { nullptr }; // The only workers that may be used; null: any.
-    std::string isolatedFor; // Goes only where nothing but suspect tasks of this job runs; empty: anywhere else.
-    const std::set<std::string>* isolation { nullptr }; // Workers on which such tasks run; null: none yet.
-    const std::vector<std::string>* avoid { nullptr }; // Workers that must not be used.
-    const WorkerCounts* siblings { nullptr }; // Running tasks of the step, by worker.
-    Millis expected { 0 }; // Run time.
+    std::int64_t maxPerWorker { 0 };
+    const std::set<std::string>* allowedWorkers { nullptr }; // The only workers that may be used; null: any.
+    std::string isolatedJob; // Goes only where nothing but suspect tasks of this job runs; empty: anywhere else.
+    const std::set<std::string>* isolatedWorkers { nullptr }; // Workers on which such tasks run; null: none yet.
+    const std::vector<std::string>* excludedWorkers { nullptr }; // Workers that must not be used.
+    const WorkerCounts* siblingCounts { nullptr }; // Running tasks of the step, by worker.
+    Millis expectedRunTime { 0 }; // Run time.
     bool urgent { false }; // Goes to kept workers first.
-    double leastSpeed { 0 }; // Slower workers,
-    double mostSpeed { 100 }; // and faster ones, are passed over.
+    double minSpeed { 0 }; // Slower workers,
+    double maxSpeed { 100 }; // and faster ones, are passed over.
 };
 
 // Members' workers, as indices into Snapshot::workers, in the order of the members.
-using Places = std::vector<std::size_t>;
+using Placement = std::vector<std::size_t>;
 
 // Asks that found no place in a round. What asks for as much or more, under the
 // same conditions or stricter ones, is not searched for again.
 class FailedRequests {
 public:
-    void add(const PlacementRequest& request) { this->asks.push_back(request); }
-    bool cover(const PlacementRequest&) const;
+    void add(const PlacementRequest& request) { this->requests.push_back(request); }
+    bool covers(const PlacementRequest&) const;
 
 private:
-    std::vector<PlacementRequest> asks;
+    std::vector<PlacementRequest> requests;
 };
 
 class Snapshot {
@@ -104,22 +104,22 @@
     Millis now { 0 };
 
     // Room that is free now.
-    std::optional<Places> findFree(const PlacementRequest&) const;
+    std::optional<Placement> findFree(const PlacementRequest&) const;
 
     // The same, of workers whose pace suits the unit, if there are. An urgent unit
     // goes where it ends first. A gang goes at the pace of its slowest member, so
     // its members should be of one pace; one that can wait leaves fast workers to
     // others.
-    std::optional<Places> findFreeAtPace(const PlacementRequest&) const;
+    std::optional<Placement> findFreeBySpeed(const PlacementRequest&) const;
 
     // Room that will be free once runs that are being stopped have ended.
-    std::optional<Places> findAfterStops(const PlacementRequest&) const;
+    std::optional<Placement> findAfterStops(const PlacementRequest&) const;
 
-    void take(const PlacementRequest&, const Places&); // Starts now.
-    void promise(const PlacementRequest&, const Places&); // Starts when runs being stopped have ended.
+    void allocate(const PlacementRequest&, const Placement&); // Starts now.
+    void allocateAfterStops(const PlacementRequest&, const Placement&); // Starts when runs being stopped have ended.
 
     // The unit is being stopped on these workers.
-    void markEnding(const UnitKey&, const std::vector<Incarnation>&);
+    void markStopping(const UnitKey&, const std::vector<Incarnation>&);
 
     // Keeps room for a unit that has to wait until running ones end by themselves:
     // whatever starts there must end before, or leave that room.
@@ -127,24 +127,24 @@
 
     // Keeps the fastest workers for urgent units, for this many accelerators and at
     // most half of all. While over half of all is in use they are closed to others.
-    void keep(std::int64_t accelerators);
+    void reserveForUrgent(std::int64_t accelerators);
 
     // True if the unit could be placed were all workers empty.
-    bool couldEverFit(const PlacementRequest&) const;
+    bool fitsWhenEmpty(const PlacementRequest&) const;
 
     // Members for which there is room, wherever it is.
-    struct Offered {
+    struct AvailableMembers {
         std::int64_t free { 0 }; // On suitable workers, whoever it is kept for.
         std::int64_t unreserved { 0 }; // Of that, not kept for urgent units and not promised after stops.
-        std::int64_t now { 0 }; // Of that, not kept for a unit that waits for running ones to end.
+        std::int64_t startable { 0 }; // Of that, not kept for a unit that waits for running ones to end.
         std::int64_t afterStops { 0 };
     };
-    Offered offered(const PlacementRequest&) const;
+    AvailableMembers countAvailableMembers(const PlacementRequest&) const;
 
     // True if the workers not asked yet could take the whole unit, were they empty.
-    bool couldFitUnpolled(const PlacementRequest&) const;
+    bool fitsOnUnpolledWorkers(const PlacementRequest&) const;
 
-    bool suits(const SnapshotWorker&, const PlacementRequest&) const;
+    bool isEligible(const SnapshotWorker&, const PlacementRequest&) const;
 
     // Keeps suspect tasks and all others apart.
     bool respectsIsolation(const SnapshotWorker&, const PlacementRequest&) const;
@@ -157,10 +157,10 @@
         Empty,
     };
 
-    std::optional<Places> find(const PlacementRequest&, View) const;
-    std::optional<Places> findWithin(const PlacementRequest&, View, const std::string* rack) const;
-    std::int64_t fits(const SnapshotWorker&, const PlacementRequest&, View) const;
-    bool respectsPromise(const SnapshotWorker&, const PlacementRequest&, std::int64_t count) const;
+    std::optional<Placement> find(const PlacementRequest&, View) const;
+    std::optional<Placement> findWithin(const PlacementRequest&, View, const std::string* rack) const;
+    std::int64_t countFitting(const SnapshotWorker&, const PlacementRequest&, View) const;
+    bool respectsReservation(const SnapshotWorker&, const PlacementRequest&, std::int64_t count) const;
 };
 
 } // namespace rattan::tasks
--- a/src/tasks/plan_table.cc
+++ b/src/tasks/plan_table.cc
@@ -5,16 +5,16 @@
 void PlanTable::apply(std::string_view key, std::string_view value, std::int64_t offset)
 {
     const Attempt<RecordKey> parsed = attempt([&] { return parseKey(key); });
-    if (!parsed.value || (parsed.value->kind != RecordKind::Progress && parsed.value->kind != RecordKind::Learned)) {
+    if (!parsed.value || (parsed.value->kind != RecordKind::Progress && parsed.value->kind != RecordKind::Estimates)) {
         ++this->unreadableRecords;
         return;
     }
-    const auto [known, isNew] = this->offsets.try_emplace(std::string(key), offset);
-    if (!isNew && offset <= known->second)
+    const auto [lastOffset, isNew] = this->offsets.try_emplace(std::string(key), offset);
+    if (!isNew && offset <= lastOffset->second)
         return;
-    known->second = offset;
-    if (parsed.value->kind == RecordKind::Learned) {
-        this->learnedRecord = value;
+    lastOffset->second = offset;
+    if (parsed.value->kind == RecordKind::Estimates) {
+        this->estimatesRecord = value;
         return;
     }
     if (value.empty()) {
--- a/src/tasks/plan_table.h
+++ b/src/tasks/plan_table.h
@@ -26,7 +26,7 @@
     const std::map<std::string, Progress, std::less<>>& all() const { return this->plans; }
 
     // The newest record of what planners have learned; may be empty.
-    const std::string& learned() const { return this->learnedRecord; }
+    const std::string& estimates() const { return this->estimatesRecord; }
 
     // Records that could not be read, since the start.
     std::int64_t unreadable() const { return this->unreadableRecords; }
@@ -34,7 +34,7 @@
 private:
     std::map<std::string, Progress, std::less<>> plans; // By job.
     std::map<std::string, std::int64_t, std::less<>> offsets; // By key.
-    std::string learnedRecord;
+    std::string estimatesRecord;
     std::int64_t unreadableRecords { 0 };
 };
 
--- a/src/tasks/planner_limits.h
+++ b/src/tasks/planner_limits.h
@@ -88,7 +88,7 @@
 inline constexpr Millis longestIsolationWait = 2000;
 
 // What a run takes of which nothing is known: more than any worker has.
-inline constexpr Room unknownRoom { 1'000'000'000, 1'000'000'000, 1'000'000 };
+inline constexpr Resources unknownRoom { 1'000'000'000, 1'000'000'000, 1'000'000 };
 
 // An end that nobody waits for may be recorded this much later. Its worker is not
 // polled meanwhile, which delays about one end in twenty by half of this.
--- a/src/tasks/progress.h
+++ b/src/tasks/progress.h
@@ -26,7 +26,7 @@
 };
 
 std::string_view nameOf(JobState);
-std::optional<JobState> jobStateNamed(std::string_view);
+std::optional<JobState> parseJobState(std::string_view);
 inline bool isFinal(JobState state) { return state >= JobState::Completed; }
 
 enum class UnitState {
@@ -68,7 +68,7 @@
     std::vector<Incarnation> workers; // While Running: one a member, in the order of their index.
     std::vector<CrashedRun> crashes; // Runs that ended with their worker.
     bool suspect { false }; // It may crash the next worker as well.
-    std::vector<std::int64_t> begun; // While Running: members that surely began; kept only after a crash.
+    std::vector<std::int64_t> startedMembers; // While Running: members that surely began; kept only after a crash.
 
     bool operator==(const UnitProgress&) const = default;
 };
--- a/src/tasks/queue_order.h
+++ b/src/tasks/queue_order.h
@@ -17,24 +17,24 @@
 
 namespace rattan::tasks {
 
-struct Demand {
+struct QueueKeyInputs {
     bool guaranteed { false }; // Within its workspace's guarantee.
     std::int64_t priority { 0 };
-    Millis waitedSince { 0 }; // When its caller began to wait.
-    Millis expected { 0 }; // What is left of its run.
-    Millis chain { 0 }; // The longest chain of work of its job.
+    Millis waitingSince { 0 }; // When its caller began to wait.
+    Millis remainingRunTime { 0 }; // What is left of its run.
+    Millis criticalPath { 0 }; // The longest chain of work of its job.
     double stretch { 1 };
-    Millis target { 0 };
+    Millis latencyTarget { 0 };
 };
 
 // A job is in time within stretch times its chain of work and its target, and of
 // some use within this many times that; later, of none.
-inline constexpr double usefulTimes = 3;
+inline constexpr double usefulFactor = 3;
 
 // Smaller goes first.
 struct QueueKey {
     bool guaranteed { false };
-    bool useless { false };
+    bool isTooLate { false };
     std::int64_t priority { 0 };
     Millis latestStart { 0 };
 
@@ -42,9 +42,9 @@
     bool operator==(const QueueKey&) const = default;
 };
 
-QueueKey queueKeyOf(const Demand&, Millis now);
+QueueKey queueKeyOf(const QueueKeyInputs&, Millis now);
 
 // Accelerators that a job holds at most at once, if its steps follow each other.
-std::int64_t acceleratorsOf(const Job&);
+std::int64_t peakAcceleratorsOf(const Job&);
 
 } // namespace rattan::tasks
--- a/src/tasks/records.cc
+++ b/src/tasks/records.cc
@@ -19,25 +19,25 @@
         { RecordKind::Cancel, "cancel/" },
         { RecordKind::State, "state/" },
         { RecordKind::Progress, "progress/" },
-        { RecordKind::Learned, "learned/" },
+        { RecordKind::Estimates, "learned/" },
     } };
 
     constexpr std::array<std::string_view, 5> stateNames { "queued", "running", "completed", "failed", "cancelled" };
 
-    Json roomJson(const Room& room) { return Json::array({ room.milliCores, room.memoryMb, room.accelerators }); }
+    Json resourcesJson(const Resources& resources) { return Json::array({ resources.milliCores, resources.memoryMb, resources.accelerators }); }
 
-    Room roomOf(const Json& json) { return { json.at(0).get<std::int64_t>(), json.at(1).get<std::int64_t>(), json.at(2).get<std::int64_t>() }; }
+    Resources resourcesOf(const Json& json) { return { json.at(0).get<std::int64_t>(), json.at(1).get<std::int64_t>(), json.at(2).get<std::int64_t>() }; }
 
     // Fields at their default are left out: most steps use few of them.
     template <typename T>
-    void put(Json& json, const char* name, const T& value, const T& usual)
+    void putUnlessDefault(Json& json, const char* name, const T& value, const T& defaults)
     {
-        if (value != usual)
+        if (value != defaults)
             json[name] = value;
     }
 
     template <typename T>
-    void take(const Json& json, const char* name, T& value)
+    void getIfPresent(const Json& json, const char* name, T& value)
     {
         if (const auto found = json.find(name); found != json.end())
             value = found->get<T>();
@@ -45,22 +45,22 @@
 
     Json stepJson(const Step& step)
     {
-        static const Step usual;
-        Json json { { "count", step.count }, { "each", roomJson(step.each) } };
-        put(json, "estimate", step.estimate, usual.estimate);
-        put(json, "after", step.dependsOn, usual.dependsOn);
-        put(json, "saves", step.savesProgress, usual.savesProgress);
-        put(json, "gang", step.gang, usual.gang);
-        put(json, "sameRack", step.sameRack, usual.sameRack);
-        put(json, "label", step.label, usual.label);
-        put(json, "dataRack", step.dataRack, usual.dataRack);
-        put(json, "perWorker", step.mostPerWorker, usual.mostPerWorker);
-        put(json, "speculative", step.speculative, usual.speculative);
-        put(json, "longRunning", step.longRunning, usual.longRunning);
-        put(json, "fills", step.fills, usual.fills);
-        put(json, "image", step.image, usual.image);
-        put(json, "tailTarget", step.tailTarget, usual.tailTarget);
-        put(json, "mayMiss", step.mayMiss, usual.mayMiss);
+        static const Step defaults;
+        Json json { { "count", step.count }, { "each", resourcesJson(step.perTask) } };
+        putUnlessDefault(json, "estimate", step.estimate, defaults.estimate);
+        putUnlessDefault(json, "after", step.dependsOn, defaults.dependsOn);
+        putUnlessDefault(json, "saves", step.savesProgress, defaults.savesProgress);
+        putUnlessDefault(json, "gang", step.gang, defaults.gang);
+        putUnlessDefault(json, "sameRack", step.sameRack, defaults.sameRack);
+        putUnlessDefault(json, "label", step.label, defaults.label);
+        putUnlessDefault(json, "dataRack", step.dataRack, defaults.dataRack);
+        putUnlessDefault(json, "perWorker", step.maxPerWorker, defaults.maxPerWorker);
+        putUnlessDefault(json, "speculative", step.speculative, defaults.speculative);
+        putUnlessDefault(json, "longRunning", step.longRunning, defaults.longRunning);
+        putUnlessDefault(json, "fills", step.usesIdleCores, defaults.usesIdleCores);
+        putUnlessDefault(json, "image", step.image, defaults.image);
+        putUnlessDefault(json, "tailTarget", step.tailTarget, defaults.tailTarget);
+        putUnlessDefault(json, "mayMiss", step.maxUnavailable, defaults.maxUnavailable);
         return json;
     }
 
@@ -68,40 +68,40 @@
     {
         Step step;
         step.count = json.at("count").get<std::int64_t>();
-        step.each = roomOf(json.at("each"));
-        take(json, "estimate", step.estimate);
-        take(json, "after", step.dependsOn);
-        take(json, "saves", step.savesProgress);
-        take(json, "gang", step.gang);
-        take(json, "sameRack", step.sameRack);
-        take(json, "label", step.label);
-        take(json, "dataRack", step.dataRack);
-        take(json, "perWorker", step.mostPerWorker);
-        take(json, "speculative", step.speculative);
-        take(json, "longRunning", step.longRunning);
-        take(json, "fills", step.fills);
-        take(json, "image", step.image);
-        take(json, "tailTarget", step.tailTarget);
-        take(json, "mayMiss", step.mayMiss);
+        step.perTask = resourcesOf(json.at("each"));
+        getIfPresent(json, "estimate", step.estimate);
+        getIfPresent(json, "after", step.dependsOn);
+        getIfPresent(json, "saves", step.savesProgress);
+        getIfPresent(json, "gang", step.gang);
+        getIfPresent(json, "sameRack", step.sameRack);
+        getIfPresent(json, "label", step.label);
+        getIfPresent(json, "dataRack", step.dataRack);
+        getIfPresent(json, "perWorker", step.maxPerWorker);
+        getIfPresent(json, "speculative", step.speculative);
+        getIfPresent(json, "longRunning", step.longRunning);
+        getIfPresent(json, "fills", step.usesIdleCores);
+        getIfPresent(json, "image", step.image);
+        getIfPresent(json, "tailTarget", step.tailTarget);
+        getIfPresent(json, "mayMiss", step.maxUnavailable);
         return step;
     }
 
     Json termsJson(const QueueTerms& terms)
     {
         return { { "queue", terms.queue }, { "service", terms.service }, { "priority", terms.priority },
-            { "attempts", terms.mostAttempts }, { "stretch", terms.stretch }, { "target", terms.latencyTarget },
-            { "advice", Json::array({ terms.advice.each, terms.advice.perWorker, terms.advice.valid }) } };
+            { "attempts", terms.maxAttempts }, { "stretch", terms.stretch }, { "target", terms.latencyTarget },
+            { "advice", Json::array({ terms.advice.perRequest, terms.advice.perWorker, terms.advice.ticketValidity }) } };
     }
 
     QueueTerms termsOf(const Json& json)
     {
         QueueTerms terms;
-        take(json, "queue", terms.queue);
-        take(json, "service", terms.service);
-        take(json, "priority", terms.priority);
-        take(json, "attempts", terms.mostAttempts);
-        take(json, "stretch", terms.stretch);
-        take(json, "target", terms.latencyTarget);
+        getIfPresent(json, "queue", terms.queue);
+        getIfPresent(json, "service", terms.service);
+        getIfPresent(json, "priority", terms.priority);
+        getIfPresent(json, "attempts", terms.maxAttempts);
+        getIfPresent(json, "stretch", terms.stretch);
+        getIfPresent(json, "target", terms.latencyTarget);
         if (const auto found = json.find("advice"); found != json.end())
             terms.advice = { found->at(0).get<Millis>(), found->at(1).get<Millis>(), found->at(2).get<Millis>() };
         return terms;
@@ -125,7 +125,7 @@
             crashes.push_back(Json::array({ crashed.run, crashed.task, static_cast<int>(crashed.evidence) }));
         row.push_back(std::move(crashes));
         row.push_back(unit.suspect);
-        row.push_back(unit.begun);
+        row.push_back(unit.startedMembers);
         return row;
     }
 
@@ -148,7 +148,7 @@
             for (const Json& crashed : row.at(8))
                 unit.crashes.push_back({ crashed.at(0).get<std::int64_t>(), crashed.at(1).get<std::int64_t>(), static_cast<CrashEvidence>(crashed.at(2).get<int>()) });
             unit.suspect = row.at(9).get<bool>();
-            unit.begun = row.at(10).get<std::vector<std::int64_t>>();
+            unit.startedMembers = row.at(10).get<std::vector<std::int64_t>>();
         }
         return unit;
     }
@@ -172,13 +172,13 @@
 
 std::string_view nameOf(JobState state) { return stateNames.at(static_cast<std::size_t>(state)); }
 
-std::optional<JobState> jobStateNamed(std::string_view name)
+std::optional<JobState> parseJobState(std::string_view name)
 {
     const auto state = indexOfName(stateNames, name);
     return state ? std::optional(static_cast<JobState>(*state)) : std::nullopt;
 }
 
-std::string keyText(const RecordKey& key)
+std::string formatKey(const RecordKey& key)
 {
     for (const KindName& row : kinds) {
         if (row.kind == key.kind)
@@ -216,15 +216,15 @@
     return decode<Job>(value, "tasks.job", [&](const Json& json) {
         Job job;
         job.id = id;
-        take(json, "workspace", job.workspace);
+        getIfPresent(json, "workspace", job.workspace);
         job.terms = termsOf(json.at("terms"));
-        take(json, "text", job.text);
+        getIfPresent(json, "text", job.text);
         for (const Json& step : json.at("steps"))
             job.steps.push_back(stepOf(step));
-        take(json, "repeats", job.repeats);
-        take(json, "startAt", job.startAt);
-        take(json, "interval", job.interval);
-        take(json, "accepted", job.acceptedAt);
+        getIfPresent(json, "repeats", job.repeats);
+        getIfPresent(json, "startAt", job.startAt);
+        getIfPresent(json, "interval", job.interval);
+        getIfPresent(json, "accepted", job.acceptedAt);
         return job;
     });
 }
@@ -234,7 +234,7 @@
 Result<JobState> decodeState(std::string_view value)
 {
     return decode<JobState>(value, "tasks.state", [](const Json& json) -> Result<JobState> {
-        const auto state = jobStateNamed(json.at("state").get<std::string>());
+        const auto state = parseJobState(json.at("state").get<std::string>());
         if (!state)
             return fail(ErrorCode::BadInput, "tasks.state", "", "no state of a job");
         return *state;
@@ -262,9 +262,9 @@
         Progress progress;
         if (const auto state = indexOfName(stateNames, json.at("state").get<std::string>()))
             progress.state = static_cast<JobState>(*state);
-        take(json, "started", progress.started);
-        take(json, "reason", progress.reason);
-        take(json, "done", progress.occurrencesDone);
+        getIfPresent(json, "started", progress.started);
+        getIfPresent(json, "reason", progress.reason);
+        getIfPresent(json, "done", progress.occurrencesDone);
         if (const auto units = json.find("units"); units != json.end()) {
             for (const Json& row : *units)
                 progress.units.push_back(unitOf(row));
--- a/src/tasks/records.h
+++ b/src/tasks/records.h
@@ -31,7 +31,7 @@
     Cancel,
     State,
     Progress,
-    Learned,
+    Estimates,
 };
 
 struct RecordKey {
@@ -39,7 +39,7 @@
     std::string job;
 };
 
-std::string keyText(const RecordKey&);
+std::string formatKey(const RecordKey&);
 Result<RecordKey> parseKey(std::string_view);
 
 std::string encodeJob(const Job&);
--- a/src/tasks/round_pacer.cc
+++ b/src/tasks/round_pacer.cc
@@ -8,66 +8,66 @@
 namespace {
 
     // Durations that a round is followed by without another of its kind.
-    constexpr int wholeRest = 3;
-    constexpr int urgentRest = 1;
+    constexpr int fullPauseFactor = 3;
+    constexpr int urgentPauseFactor = 1;
 
     // A clock in milliseconds tells nothing of shorter ones.
-    constexpr Millis longRound = 4;
+    constexpr Millis minMeasuredDuration = 4;
 
 } // namespace
 
-void RoundPacer::changed()
+void RoundPacer::markChanged()
 {
-    this->isChanged = true;
-    this->isChangedForUrgent = true;
+    this->changedSinceFull = true;
+    this->changedSinceRound = true;
 }
 
-void RoundPacer::dueBy(Millis at) { this->dueAt = this->dueAt == 0 ? at : std::min(this->dueAt, at); }
+void RoundPacer::scheduleBy(Millis at) { this->dueAt = this->dueAt == 0 ? at : std::min(this->dueAt, at); }
 
-Millis RoundPacer::wholeAt() const
+Millis RoundPacer::fullRoundAt() const
 {
-    Millis at = this->isChanged ? this->notBefore : this->notBefore + idle;
+    Millis at = this->changedSinceFull ? this->notBefore : this->notBefore + idleInterval;
     if (this->dueAt > 0)
         at = std::min(at, this->dueAt);
-    return std::max({ at, this->notBefore, this->wholeHeldUntil });
+    return std::max({ at, this->notBefore, this->nextFullRoundAt });
 }
 
-Millis RoundPacer::urgentAt() const
+Millis RoundPacer::urgentRoundAt() const
 {
-    const Millis at = this->isChangedForUrgent ? this->notBefore : this->notBefore + idle;
-    return std::max(at, this->urgentHeldUntil);
+    const Millis at = this->changedSinceRound ? this->notBefore : this->notBefore + idleInterval;
+    return std::max(at, this->nextUrgentRoundAt);
 }
 
 RoundKind RoundPacer::next(Millis now, bool urgentWaits) const
 {
-    if (now >= this->wholeAt())
-        return RoundKind::Whole;
-    return urgentWaits && now >= this->urgentAt() ? RoundKind::Urgent : RoundKind::None;
+    if (now >= this->fullRoundAt())
+        return RoundKind::Full;
+    return urgentWaits && now >= this->urgentRoundAt() ? RoundKind::Urgent : RoundKind::None;
 }
 
-void RoundPacer::begun(RoundKind kind, Millis now)
+void RoundPacer::roundStarted(RoundKind kind, Millis now)
 {
-    this->notBefore = now + gap;
-    this->isChangedForUrgent = false;
-    if (kind != RoundKind::Whole)
+    this->notBefore = now + minInterval;
+    this->changedSinceRound = false;
+    if (kind != RoundKind::Full)
         return;
-    this->isChanged = false;
+    this->changedSinceFull = false;
     this->dueAt = 0;
 }
 
-void RoundPacer::took(RoundKind kind, Millis duration, Millis now)
+void RoundPacer::roundFinished(RoundKind kind, Millis duration, Millis now)
 {
-    if (kind == RoundKind::None || duration < longRound)
+    if (kind == RoundKind::None || duration < minMeasuredDuration)
         return;
-    this->urgentHeldUntil = now + duration * urgentRest;
-    if (kind == RoundKind::Whole)
-        this->wholeHeldUntil = now + duration * wholeRest;
+    this->nextUrgentRoundAt = now + duration * urgentPauseFactor;
+    if (kind == RoundKind::Full)
+        this->nextFullRoundAt = now + duration * fullPauseFactor;
 }
 
 Millis RoundPacer::nextWake(Millis now, bool urgentWaits) const
 {
-    const Millis urgent = urgentWaits ? this->urgentAt() : std::numeric_limits<Millis>::max();
-    return std::max(now, std::min(this->wholeAt(), urgent));
+    const Millis urgent = urgentWaits ? this->urgentRoundAt() : std::numeric_limits<Millis>::max();
+    return std::max(now, std::min(this->fullRoundAt(), urgent));
 }
 
 } // namespace rattan::tasks
--- a/src/tasks/round_pacer.h
+++ b/src/tasks/round_pacer.h
@@ -21,41 +21,41 @@
 enum class RoundKind {
     None,
     Urgent, // Only units of the highest priority.
-    Whole,
+    Full,
 };
 
 class RoundPacer {
 public:
     // A burst of answers does not cost a round each.
-    static constexpr Millis gap = 10;
+    static constexpr Millis minInterval = 10;
 
     // With nothing new, for what time itself changes.
-    static constexpr Millis idle = 500;
+    static constexpr Millis idleInterval = 500;
 
     // Something has happened that a round may answer.
-    void changed();
+    void markChanged();
 
     // A unit that waits may do more from then on.
-    void dueBy(Millis);
+    void scheduleBy(Millis);
 
     RoundKind next(Millis now, bool urgentWaits) const;
-    void begun(RoundKind, Millis now);
+    void roundStarted(RoundKind, Millis now);
 
     // Rounds of a kind take a bounded share of the time.
-    void took(RoundKind, Millis duration, Millis now);
+    void roundFinished(RoundKind, Millis duration, Millis now);
 
     // When next() has to be asked again although nothing changes; at least `now`.
     Millis nextWake(Millis now, bool urgentWaits) const;
 
 private:
-    Millis wholeAt() const;
-    Millis urgentAt() const;
+    Millis fullRoundAt() const;
+    Millis urgentRoundAt() const;
 
-    bool isChanged { true };
-    bool isChangedForUrgent { true };
+    bool changedSinceFull { true };
+    bool changedSinceRound { true };
     Millis notBefore { 0 };
-    Millis wholeHeldUntil { 0 };
-    Millis urgentHeldUntil { 0 };
+    Millis nextFullRoundAt { 0 };
+    Millis nextUrgentRoundAt { 0 };
     Millis dueAt { 0 }; // 0: none.
 };
 
--- a/src/tasks/run_times.cc
+++ b/src/tasks/run_times.cc
@@ -7,40 +7,40 @@
 
 namespace {
 
-    constexpr double newestWeight = 0.05; // Of one run in a mean: the last twenty or so count.
-    constexpr double firstVariance = 0.25; // Of a queue that nothing is known of: a factor of 1.6 either way.
-    constexpr double trustedSamples = 4; // Runs before a mean is used.
+    constexpr double minSampleWeight = 0.05; // Of one run in a mean: the last twenty or so count.
+    constexpr double defaultVariance = 0.25; // Of a queue that nothing is known of: a factor of 1.6 either way.
+    constexpr double minSamples = 4; // Runs before a mean is used.
 
 } // namespace
 
 void RecentMean::add(double value)
 {
     this->samples += 1;
-    const double weight = std::max(newestWeight, 1 / this->samples);
-    const double off = value - this->mean;
-    this->mean += weight * off;
-    this->variance = (1 - weight) * (this->variance + weight * off * off);
+    const double weight = std::max(minSampleWeight, 1 / this->samples);
+    const double deviation = value - this->mean;
+    this->mean += weight * deviation;
+    this->variance = (1 - weight) * (this->variance + weight * deviation * deviation);
 }
 
-void RunTimes::learn(const std::string& queue, Millis declared, double took)
+void RunTimes::addRun(const std::string& queue, Millis declared, double work)
 {
-    Queue& known = this->queues[queue];
-    const double log = std::log(std::max(took, 1.0));
-    known.took.add(log);
+    Queue& estimate = this->queues[queue];
+    const double logWork = std::log(std::max(work, 1.0));
+    estimate.logWork.add(logWork);
     if (declared > 0)
-        known.against.add(log - std::log(static_cast<double>(declared)));
+        estimate.logRatio.add(logWork - std::log(static_cast<double>(declared)));
 }
 
-RunTimes::Forecast RunTimes::expect(const std::string& queue, Millis declared) const
+RunTimes::Forecast RunTimes::forecast(const std::string& queue, Millis declared) const
 {
     const auto found = this->queues.find(queue);
-    if (found == this->queues.end() || found->second.took.samples < trustedSamples)
-        return { std::max<Millis>(declared, 1), firstVariance };
-    const Queue& known = found->second;
-    const bool byDeclared = declared > 0 && known.against.samples >= trustedSamples && known.against.variance < known.took.variance;
-    const double log = byDeclared ? std::log(static_cast<double>(declared)) + known.against.mean : known.took.mean;
-    const double variance = byDeclared ? known.against.variance : known.took.variance;
-    return { std::max<Millis>(static_cast<Millis>(std::exp(log)), 1), variance };
+    if (found == this->queues.end() || found->second.logWork.samples < minSamples)
+        return { std::max<Millis>(declared, 1), defaultVariance };
+    const Queue& estimate = found->second;
+    const bool byDeclared = declared > 0 && estimate.logRatio.samples >= minSamples && estimate.logRatio.variance < estimate.logWork.variance;
+    const double logWork = byDeclared ? std::log(static_cast<double>(declared)) + estimate.logRatio.mean : estimate.logWork.mean;
+    const double variance = byDeclared ? estimate.logRatio.variance : estimate.logWork.variance;
+    return { std::max<Millis>(static_cast<Millis>(std::exp(logWork)), 1), variance };
 }
 
 } // namespace rattan::tasks
--- a/src/tasks/run_times.h
+++ b/src/tasks/run_times.h
@@ -30,18 +30,18 @@
     };
 
     // A run of which `work` was declared took `took` in units of usual speed.
-    void learn(const std::string& queue, Millis declared, double took);
+    void addRun(const std::string& queue, Millis declared, double work);
 
-    Forecast expect(const std::string& queue, Millis declared) const;
+    Forecast forecast(const std::string& queue, Millis declared) const;
 
     struct Queue {
-        RecentMean took; // Of the logarithm of the time.
-        RecentMean against; // Of the logarithm of the time against the declared one.
+        RecentMean logWork; // Of the logarithm of the time.
+        RecentMean logRatio; // Of the logarithm of the time against the declared one.
     };
 
     // To hand over to a planner that follows.
     const std::map<std::string, Queue>& all() const { return this->queues; }
-    void restore(const std::string& queue, const Queue& known) { this->queues[queue] = known; }
+    void restore(const std::string& queue, const Queue& estimate) { this->queues[queue] = estimate; }
 
 private:
     std::map<std::string, Queue> queues;
--- a/src/tasks/domain_doubts.h
+++ b/src/tasks/suspected_domains.h
@@ -21,24 +21,24 @@
 
 namespace rattan::tasks {
 
-class DomainDoubts {
+class SuspectedDomains {
 public:
-    void wentSilent(const std::string& domain, const std::string& worker, Millis now);
+    void addSilentWorker(const std::string& domain, const std::string& worker, Millis now);
 
     // Whether a worker of the domain that was last heard of then has to answer first.
-    bool covers(const std::string& domain, Millis heardAt, Millis now) const;
+    bool isSuspected(const std::string& domain, Millis lastAnswerAt, Millis now) const;
 
 private:
     // Two starts to a domain that is cut off fail within this time at usual rates.
-    static constexpr Millis together = 1500;
+    static constexpr Millis correlationWindow = 1500;
 
     // By then every worker has answered, or has fallen silent by itself.
-    static constexpr Millis lasts = 3000;
+    static constexpr Millis suspicionDuration = 3000;
 
     struct Domain {
         std::string silentWorker; // The last one that fell silent,
         Millis silentAt { 0 }; // and when.
-        Millis doubtedAt { 0 }; // 0: not doubted.
+        Millis suspectedAt { 0 }; // 0: not doubted.
     };
 
     std::map<std::string, Domain> domains;
--- a/src/tasks/task_planner.cc
+++ b/src/tasks/task_planner.cc
@@ -6,7 +6,7 @@
 
 #include "tasks/task_planner.h"
 
-#include "tasks/learned.h"
+#include "tasks/estimates_record.h"
 #include "tasks/planner_limits.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
     , table(table)
     , catalog(std::make_shared<Catalog>())
 {
-    restoreLearned(plans.learned(), this->runTimes, this->speeds);
+    restoreEstimates(plans.estimates(), this->runTimes, this->speeds);
     static const Progress nothing;
     for (const auto& [id, entry] : table.all()) {
         const Progress* plan = plans.find(id);
@@ -38,7 +38,7 @@
 void TaskPlanner::applyCatalog(std::shared_ptr<const Catalog> newest)
 {
     this->catalog = std::move(newest);
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 void TaskPlanner::adopt(const JobEntry& entry, const Progress& plan, Millis now, Millis wall)
@@ -92,7 +92,7 @@
         unit->suspect = progress.suspect;
         if (progress.state == UnitState::Running)
             this->adoptRun(*unit, progress, now);
-        else if (unit->crashes.isExhausted(unit->run))
+        else if (unit->crashes.shouldGiveUp(unit->run))
             this->exhausted.insert(unit->key); // The earlier planner died before it gave the job up.
     }
 }
@@ -101,9 +101,9 @@
 {
     unit.state = UnitState::Running;
     unit.workers = progress.workers;
-    unit.left = static_cast<std::int64_t>(progress.workers.size());
+    unit.membersLeft = static_cast<std::int64_t>(progress.workers.size());
     unit.placedAt = now;
-    unit.adopted = true;
+    unit.inherited = true;
     if (unit.suspect)
         this->isolatedUnits.insert(unit.key);
     this->dequeue(unit.key);
@@ -112,21 +112,21 @@
         auto [found, isNew] = this->workers.try_emplace(incarnation.id);
         Worker& worker = found->second;
         if (isNew) {
-            worker.seen.incarnation = incarnation;
+            worker.description.incarnation = incarnation;
             worker.listed = false;
         }
         // Where records tell of two incarnations, runs of both are kept until a poll shows
         // which are there: a start for the earlier may have reached the later.
-        worker.seen.incarnation.born = std::max(worker.seen.incarnation.born, incarnation.born);
+        worker.description.incarnation.born = std::max(worker.description.incarnation.born, incarnation.born);
         // The earlier planner may not know yet that it is followed, and renew leases at workers
         // that this one does not reach. Counted shorter, their tasks would run twice at a time.
         this->grantLease(worker, now + this->options.earlierTerm);
         PlacedRun placedRun { .run = { unit.task(static_cast<std::int64_t>(member)), unit.run }, .unit = unit.key };
         placedRun.inherited = true;
         placedRun.phase = RunPhase::Starting;
-        placedRun.begun = std::find(progress.begun.begin(), progress.begun.end(), static_cast<std::int64_t>(member)) != progress.begun.end();
-        placedRun.room = this->roomOf(placedRun.run.task);
-        worker.used += placedRun.room;
+        placedRun.hasBegun = std::find(progress.startedMembers.begin(), progress.startedMembers.end(), static_cast<std::int64_t>(member)) != progress.startedMembers.end();
+        placedRun.resources = this->roomOf(placedRun.run.task);
+        worker.used += placedRun.resources;
         worker.placedRuns.emplace(placedRun.run, placedRun);
     }
 }
@@ -139,7 +139,7 @@
     active.job = job;
     active.text = std::make_shared<const std::string>(job->text);
     this->beginDue(active, now, wall);
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 void TaskPlanner::jobCancelled(const std::string& id, Millis now)
@@ -172,23 +172,23 @@
     for (std::size_t i = 0; i < occurrence.steps.size(); ++i) {
         StepState& state = occurrence.steps[i];
         const Step& step = active.job->steps[i];
-        bool ready = !state.begun;
+        bool ready = !state.started;
         for (const std::int64_t earlier : step.dependsOn)
             ready = ready && occurrence.steps[static_cast<std::size_t>(earlier)].done;
         if (!ready)
             continue;
-        state.begun = true;
+        state.started = true;
         const auto number64 = static_cast<std::int64_t>(i);
         const std::int64_t first = step.gang ? wholeGang : 0;
         const std::int64_t end = step.gang ? 0 : step.count;
         for (std::int64_t index = first; index < end; ++index) {
             if (occurrence.doneUnits.contains({ number64, index }))
                 continue;
-            ++state.left;
+            ++state.unitsLeft;
             this->addUnit(active, { active.job->id, number, number64, index }, now);
         }
         // All of it was done under an earlier planner; later steps may follow.
-        state.done = state.left == 0;
+        state.done = state.unitsLeft == 0;
     }
 }
 
@@ -212,7 +212,7 @@
     unit.job = active.job;
     unit.waitingSince = now;
     this->enqueue(unit);
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 void TaskPlanner::unitDone(const UnitKey& key, Millis now)
@@ -227,7 +227,7 @@
             continue;
         const auto placedRun = worker->placedRuns.find({ unit.task(static_cast<std::int64_t>(member)), unit.run });
         if (placedRun != worker->placedRuns.end())
-            placedRun->second.stray = true;
+            placedRun->second.orphaned = true;
     }
     this->dequeue(key);
     this->isolatedUnits.erase(key);
@@ -238,12 +238,12 @@
     Occurrence& occurrence = active.occurrences.at(done.occurrence);
     occurrence.doneUnits.emplace(done.step, done.index);
     StepState& step = occurrence.steps[static_cast<std::size_t>(done.step)];
-    step.done = --step.left == 0;
+    step.done = --step.unitsLeft == 0;
     this->markDirty(done.job);
-    this->pacer.changed();
+    this->pacer.markChanged();
     if (!step.done)
         return;
-    this->speeds.learnSiblings(step.samples);
+    this->speeds.addSiblingRuns(step.samples);
     step.samples.clear();
     this->beginSteps(active, done.occurrence, now);
     for (const StepState& state : occurrence.steps) {
@@ -261,27 +261,27 @@
 // From runs that went from nothing to their end before this planner's eyes.
 void TaskPlanner::learn(const Unit& unit, Millis now)
 {
-    if (unit.startedAt == 0 || unit.progressAtStart > 0 || unit.adopted || unit.placedFar || unit.step().longRunning)
+    if (unit.startedAt == 0 || unit.progressAtStart > 0 || unit.inherited || unit.placedRemotely || unit.step().longRunning)
         return;
     const Millis took = now - unit.startedAt;
     std::vector<std::string> ids;
     for (const Incarnation& incarnation : unit.workers)
         ids.push_back(incarnation.id);
     const std::string& queue = unit.job->terms.queue;
-    const RunTimes::Forecast forecast = this->runTimes.expect(queue, unit.step().estimate);
-    this->runTimes.learn(queue, unit.step().estimate, static_cast<double>(took) * this->speeds.slowestOf(ids));
+    const RunTimes::Forecast forecast = this->runTimes.forecast(queue, unit.step().estimate);
+    this->runTimes.addRun(queue, unit.step().estimate, static_cast<double>(took) * this->speeds.slowestOf(ids));
     if (unit.key.index == wholeGang || unit.step().count == 1)
-        this->speeds.learnGang(ids, forecast, took);
+        this->speeds.addGangRun(ids, forecast, took);
     else
         this->jobs.at(unit.key.job).occurrences.at(unit.key.occurrence).steps[static_cast<std::size_t>(unit.key.step)].samples.push_back({ ids.front(), took });
 }
 
 void TaskPlanner::runOver(Unit& unit, Millis now)
 {
-    const bool failed = unit.failed;
+    const bool failed = unit.memberFailed;
     unit.state = UnitState::Waiting;
     unit.workers.clear();
-    unit.failed = false;
+    unit.memberFailed = false;
     unit.stopping = false;
     unit.startedAt = 0;
     unit.waitingSince = now;
@@ -289,9 +289,9 @@
     this->isolatedUnits.erase(unit.key);
     this->enqueue(unit);
     this->markDirty(unit.key.job);
-    this->pacer.changed();
+    this->pacer.markChanged();
     this->emit(PlanEventKind::UnitRetried, unit.key, unit.run, "", failed ? "failed" : "ended early");
-    if (unit.crashes.isExhausted(unit.run))
+    if (unit.crashes.shouldGiveUp(unit.run))
         this->exhausted.insert(unit.key);
 }
 
@@ -305,7 +305,7 @@
         return;
     this->markDirty(run.task.job);
     const auto failures = static_cast<std::int64_t>(unit->failedRuns.size());
-    if (failures >= unit->job->terms.mostAttempts)
+    if (failures >= unit->job->terms.maxAttempts)
         this->finishJob(run.task.job, JobState::Failed, fmt::format("step {} failed {} times", run.task.step, failures), now);
 }
 
@@ -320,7 +320,7 @@
     this->emit(PlanEventKind::JobFinished, { id, 0, 0, 0 }, 0, "", fmt::format("{} {}", nameOf(state), active.reason));
     this->dropUnits(active.job->id, now);
     this->markDirty(active.job->id);
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 // The id must not be part of a unit, which would go with it.
@@ -345,8 +345,8 @@
         if (!worker || !worker->placedRuns.contains(run))
             continue;
         PlacedRun& placedRun = worker->placedRuns.at(run);
-        placedRun.stray = true;
-        placedRun.wantStop(now);
+        placedRun.orphaned = true;
+        placedRun.requestStop(now);
         if (placedRun.phase == RunPhase::Recording)
             this->memberGone(*worker, run, std::nullopt, "", now);
     }
@@ -368,7 +368,7 @@
 
 // Of a task that no record tells of, all that can be said is that it takes
 // something; its worker then gets nothing new until the run has been stopped.
-Room TaskPlanner::roomOf(const TaskRef& task) const
+Resources TaskPlanner::roomOf(const TaskRef& task) const
 {
     const auto active = this->jobs.find(task.job);
     const JobEntry* entry = this->table.find(task.job);
@@ -377,8 +377,8 @@
     if (!job || task.step < 0 || task.step >= static_cast<std::int64_t>(job->steps.size()))
         return unknownRoom;
     const Step& step = job->steps[static_cast<std::size_t>(task.step)];
-    Room room = step.each;
-    if (step.fills)
+    Resources room = step.perTask;
+    if (step.usesIdleCores)
         room.milliCores = 0;
     return room;
 }
@@ -395,7 +395,7 @@
 {
     std::size_t count = 0;
     for (const auto& [id, worker] : this->workers)
-        count += worker.known ? 1 : 0;
+        count += worker.hasAnswered ? 1 : 0;
     return count;
 }
 
--- a/src/tasks/task_planner.h
+++ b/src/tasks/task_planner.h
@@ -30,13 +30,13 @@
 #include "tasks/advice.h"
 #include "tasks/candidate.h"
 #include "tasks/catalog.h"
-#include "tasks/domain_doubts.h"
 #include "tasks/job_table.h"
 #include "tasks/orders.h"
 #include "tasks/plan_table.h"
+#include "tasks/planner_state.h"
 #include "tasks/round_pacer.h"
 #include "tasks/run_times.h"
-#include "tasks/unit.h"
+#include "tasks/suspected_domains.h"
 #include "tasks/worker_speeds.h"
 
 #include <limits>
@@ -66,7 +66,7 @@
     void jobCancelled(const std::string& id, Millis now);
 
     // All workers that the list holds at present.
-    void workersSeen(const std::vector<WorkerSighting>&, Millis now);
+    void workersSeen(const std::vector<WorkerDescription>&, Millis now);
 
     void pollAnswered(const Incarnation&, Millis sentAt, bool quick, const WorkerReport&, Millis now);
     void pollFailed(const Incarnation&, bool quick, WorkerFault, Millis now);
@@ -83,7 +83,7 @@
     Orders take(Millis now);
 
     // The last step() took so long, by the caller's clock.
-    void stepTook(Millis duration, Millis now) { this->pacer.took(this->round.kind, duration, now); }
+    void stepTook(Millis duration, Millis now) { this->pacer.roundFinished(this->round.kind, duration, now); }
 
     // What the last step() decided; for the log of one that took long.
     struct Round {
@@ -163,7 +163,7 @@
     bool isDoubted(const Worker&, Millis now) const;
     Worker* find(const Incarnation&); // By its id: a run that is looked for may be in a later incarnation.
     Unit* find(const UnitKey&);
-    Room roomOf(const TaskRef&) const;
+    Resources roomOf(const TaskRef&) const;
     UnitKey unitOf(const TaskRef&) const;
 
     // Runs lost with their workers, and tasks that may be the cause.
@@ -206,7 +206,7 @@
 
     // Advice on where a step may run.
     std::set<std::string> allowedWorkers(const StepAdvice&, const Snapshot&, Millis now) const;
-    std::vector<detail::Askable> askable(const StepAdvice&, const Snapshot&, const PlacementRequest&, Millis now) const;
+    std::vector<detail::AdviceCandidate> askable(const StepAdvice&, const Snapshot&, const PlacementRequest&, Millis now) const;
     bool isAdviceTurn(StepAdvice&);
     bool isAdvised(const Unit&, const Snapshot&, PlacementRequest&, Millis now);
     const std::string* ticketFor(const UnitKey&, const Incarnation&, Millis now) const;
@@ -259,7 +259,7 @@
     std::set<UnitKey> exhausted; // To be given up with their jobs.
     std::set<UnitKey> isolatedUnits; // Suspect, and running where nothing else does.
     std::map<std::string, Worker> workers; // By id; the newest incarnation.
-    DomainDoubts domainDoubts;
+    SuspectedDomains domainDoubts;
     RunTimes runTimes;
     WorkerSpeeds speeds;
     Millis waitsReportedAt { 0 }; // When the log last reported what the oldest unit waits for.
--- a/src/tasks/task_planner_advice.cc
+++ b/src/tasks/task_planner_advice.cc
@@ -28,23 +28,23 @@
 {
     std::set<std::string> allowed;
     for (const SnapshotWorker& worker : snapshot.workers) {
-        if (known.ticketFor(this->workers.at(worker.id).seen.incarnation, now + ticketSpare))
+        if (known.ticketFor(this->workers.at(worker.id).description.incarnation, now + ticketSpare))
             allowed.insert(worker.id);
     }
     return allowed;
 }
 
 // Workers that could take a member and of which it is not known whether they may.
-std::vector<Askable> TaskPlanner::askable(const StepAdvice& known, const Snapshot& snapshot, const PlacementRequest& request, Millis now) const
+std::vector<AdviceCandidate> TaskPlanner::askable(const StepAdvice& known, const Snapshot& snapshot, const PlacementRequest& request, Millis now) const
 {
-    std::vector<Askable> open;
+    std::vector<AdviceCandidate> open;
     PlacementRequest anywhere = request;
-    anywhere.allowed = nullptr;
+    anywhere.allowedWorkers = nullptr;
     for (const SnapshotWorker& worker : snapshot.workers) {
-        const Incarnation& incarnation = this->workers.at(worker.id).seen.incarnation;
-        if (!snapshot.suits(worker, anywhere) || !request.each.within(worker.capacity) || !known.isOpen(incarnation, now + ticketSpare))
+        const Incarnation& incarnation = this->workers.at(worker.id).description.incarnation;
+        if (!snapshot.isEligible(worker, anywhere) || !request.perMember.fitsIn(worker.capacity) || !known.needsRequest(incarnation, now + ticketSpare))
             continue;
-        open.push_back({ &worker, worker.rack == request.rack, request.each.within(worker.free) && request.each.within(worker.afterStops) });
+        open.push_back({ &worker, worker.rack == request.rack, request.perMember.fitsIn(worker.free) && request.perMember.fitsIn(worker.freeAfterStops) });
     }
     return open;
 }
@@ -54,15 +54,15 @@
 // all others go first. Rounds of urgent units come between and need not wait.
 bool TaskPlanner::isAdviceTurn(StepAdvice& known)
 {
-    const bool takesTurns = this->round.kind == RoundKind::Whole;
-    if (takesTurns && known.askedIn == this->advicePass)
+    const bool takesTurns = this->round.kind == RoundKind::Full;
+    if (takesTurns && known.lastPass == this->advicePass)
         return false;
     if (this->adviceUnderWay >= mostAdviceUnderWay) {
         this->isAdviceLeft = true;
         return false;
     }
     if (takesTurns)
-        known.askedIn = this->advicePass;
+        known.lastPass = this->advicePass;
     return true;
 }
 
@@ -73,23 +73,23 @@
     StepAdvice& known = this->advice[stepOf(unit.key)];
     if (snapshot.findFree(request))
         return true;
-    std::vector<Askable> open = this->askable(known, snapshot, request, now);
-    if (open.empty() && known.underWay.empty() && !snapshot.couldEverFit(request)) {
-        request.avoid = nullptr; // Its policy leaves no others.
+    std::vector<AdviceCandidate> open = this->askable(known, snapshot, request, now);
+    if (open.empty() && known.requestedWorkers.empty() && !snapshot.fitsWhenEmpty(request)) {
+        request.excludedWorkers = nullptr; // Its policy leaves no others.
         open = this->askable(known, snapshot, request, now);
     }
-    if (!request.rack.empty() && std::none_of(open.begin(), open.end(), [](const Askable& candidate) { return candidate.near; }) && !snapshot.couldEverFit(request))
+    if (!request.rack.empty() && std::none_of(open.begin(), open.end(), [](const AdviceCandidate& candidate) { return candidate.nearData; }) && !snapshot.fitsWhenEmpty(request))
         request.rack.clear(); // None of its rack may run it.
     if (snapshot.findFree(request))
         return true;
     if (open.empty())
-        return known.underWay.empty();
-    std::stable_sort(open.begin(), open.end(), [](const Askable& a, const Askable& b) { return std::pair(a.near, a.free) > std::pair(b.near, b.free); });
-    if (known.underWay.empty() && now >= known.notBefore && this->isAdviceTurn(known)) {
+        return known.requestedWorkers.empty();
+    std::stable_sort(open.begin(), open.end(), [](const AdviceCandidate& a, const AdviceCandidate& b) { return std::pair(a.nearData, a.fitsNow) > std::pair(b.nearData, b.fitsNow); });
+    if (known.requestedWorkers.empty() && now >= known.notBefore && this->isAdviceTurn(known)) {
         AdviceOrder order { .step = stepOf(unit.key), .terms = unit.job->terms.advice, .workers = {} };
         for (std::size_t i = 0; i < std::min(open.size(), mostWorkersAdvised); ++i) {
             order.workers.push_back(open[i].worker->id);
-            known.underWay.push_back(this->workers.at(open[i].worker->id).seen.incarnation);
+            known.requestedWorkers.push_back(this->workers.at(open[i].worker->id).description.incarnation);
         }
         ++this->adviceUnderWay;
         this->adviceOrders.push_back(std::move(order));
@@ -100,20 +100,20 @@
 void TaskPlanner::adviceAnswered(const StepKey& step, const std::vector<AllowedWorker>& allowed, Millis now)
 {
     --this->adviceUnderWay;
-    this->pacer.changed();
+    this->pacer.markChanged();
     const auto found = this->advice.find(step);
     const auto job = this->jobs.find(step.job);
     if (found == this->advice.end() || job == this->jobs.end())
         return; // The job is over.
     StepAdvice& known = found->second;
-    for (const Incarnation& incarnation : known.underWay) {
+    for (const Incarnation& incarnation : known.requestedWorkers) {
         const auto row = std::find_if(allowed.begin(), allowed.end(), [&](const AllowedWorker& worker) { return worker.id == incarnation.id; });
         if (row == allowed.end())
             known.deny(incarnation);
         else
-            known.allow(incarnation, row->ticket, now + job->second.job->terms.advice.valid);
+            known.allow(incarnation, row->ticket, now + job->second.job->terms.advice.ticketValidity);
     }
-    known.underWay.clear();
+    known.requestedWorkers.clear();
 }
 
 void TaskPlanner::adviceFailed(const StepKey& step, Millis now)
@@ -122,7 +122,7 @@
     const auto found = this->advice.find(step);
     if (found == this->advice.end())
         return;
-    found->second.underWay.clear();
+    found->second.requestedWorkers.clear();
     found->second.notBefore = now + advicePause;
 }
 
--- a/src/tasks/task_planner_crashes.cc
+++ b/src/tasks/task_planner_crashes.cc
@@ -32,25 +32,25 @@
         return;
     const PlacedRun placedRun = found->second;
     const std::string confirmed = placedRun.confirmedAt > 0 ? fmt::format("confirmed {} ms ago", now - placedRun.confirmedAt) : "never confirmed";
-    this->emit(PlanEventKind::RunLost, placedRun.unit, run.run, worker.seen.incarnation.id, fmt::format("{}, {}, {} runs there", nameOf(loss), confirmed, worker.placedRuns.size()));
+    this->emit(PlanEventKind::RunLost, placedRun.unit, run.run, worker.description.incarnation.id, fmt::format("{}, {}, {} runs there", nameOf(loss), confirmed, worker.placedRuns.size()));
     this->countCrash(worker, placedRun, loss);
-    this->memberGone(worker, run, loss == RunLoss::LeaseOver ? std::optional(RunEnd::Lapsed) : std::nullopt, "", now);
+    this->memberGone(worker, run, loss == RunLoss::LeaseOver ? std::optional(RunEnd::LeaseExpired) : std::nullopt, "", now);
 }
 
 // A run whose stop its worker had taken may have ended by it, unread. A worker that was leaving has left. One whose lease is over may be cut off; only if it is
 // not listed any more may it have crashed.
 void TaskPlanner::countCrash(const Worker& worker, const PlacedRun& placedRun, RunLoss loss)
 {
-    if (worker.seen.leaving || placedRun.phase == RunPhase::Recording || (loss == RunLoss::LeaseOver && worker.listed))
+    if (worker.description.leaving || placedRun.phase == RunPhase::Recording || (loss == RunLoss::LeaseOver && worker.listed))
         return;
     const Unit* unit = this->find(placedRun.unit);
     CrashEvidence evidence = CrashEvidence::Early;
-    const bool wasStopping = placedRun.stopAnsweredAt > 0;
-    if (loss == RunLoss::LeaseOver || !placedRun.begun || wasStopping)
+    const bool wasStopping = placedRun.startRuledOutAt > 0;
+    if (loss == RunLoss::LeaseOver || !placedRun.hasBegun || wasStopping)
         evidence = CrashEvidence::Unproven;
-    else if (placedRun.isProven())
+    else if (placedRun.hasSurvivedStart())
         evidence = CrashEvidence::Late;
-    else if (unit && !unit->adopted && unit->run == placedRun.run.run && this->isolatedUnits.contains(placedRun.unit))
+    else if (unit && !unit->inherited && unit->run == placedRun.run.run && this->isolatedUnits.contains(placedRun.unit))
         evidence = CrashEvidence::Alone;
     this->addCrash(placedRun, evidence);
 }
@@ -62,7 +62,7 @@
         return;
     this->markDirty(unit->key.job);
     unit->suspect = unit->suspect || evidence != CrashEvidence::Late;
-    if (unit->crashes.isExhausted(unit->run))
+    if (unit->crashes.shouldGiveUp(unit->run))
         this->exhausted.insert(unit->key);
 }
 
@@ -73,14 +73,14 @@
     unit.suspect = false;
     if (unit.step().longRunning)
         unit.crashes.clear();
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 void TaskPlanner::giveUpExhausted(Millis now)
 {
     for (const UnitKey& key : std::exchange(this->exhausted, {})) {
         const Unit* unit = this->find(key);
-        if (unit && unit->crashes.isExhausted(unit->run))
+        if (unit && unit->crashes.shouldGiveUp(unit->run))
             this->finishJob(unit->job->id, JobState::Failed, fmt::format("step {}: {} workers crashed under its tasks", key.step, unit->crashes.size()), now);
     }
 }
@@ -91,7 +91,7 @@
 {
     placedRun.phase = RunPhase::Running;
     placedRun.confirmedAt = now;
-    placedRun.begun = true;
+    placedRun.hasBegun = true;
     if (const Unit* unit = this->find(placedRun.unit); unit && unit->crashes.size() > 0)
         this->markDirty(placedRun.unit.job);
 }
@@ -102,7 +102,7 @@
         Worker* worker = this->find(unit.workers[member]);
         const RunRef run { unit.task(static_cast<std::int64_t>(member)), unit.run };
         const auto placedRun = worker ? worker->placedRuns.find(run) : std::map<RunRef, PlacedRun>::iterator();
-        if (!worker || placedRun == worker->placedRuns.end() || !placedRun->second.isProven())
+        if (!worker || placedRun == worker->placedRuns.end() || !placedRun->second.hasSurvivedStart())
             return false;
     }
     return true;
@@ -123,14 +123,14 @@
 // A suspect task keeps a worker to itself until it is seen to have survived its start.
 bool TaskPlanner::isCheckDue(const PlacedRun& placedRun, Millis now) const
 {
-    return placedRun.phase == RunPhase::Running && !placedRun.isProven() && now >= placedRun.confirmedAt + provenAfter && this->isolatedUnits.contains(placedRun.unit);
+    return placedRun.phase == RunPhase::Running && !placedRun.hasSurvivedStart() && now >= placedRun.confirmedAt + startSurvivalTime && this->isolatedUnits.contains(placedRun.unit);
 }
 
 Millis TaskPlanner::nextCheck(Millis now) const
 {
     Millis next = std::numeric_limits<Millis>::max();
     for (const UnitKey& key : this->isolatedUnits) {
-        const Millis checkAt = this->units.at(key).startedAt + provenAfter;
+        const Millis checkAt = this->units.at(key).startedAt + startSurvivalTime;
         if (checkAt > now)
             next = std::min(next, checkAt);
     }
@@ -146,7 +146,7 @@
         if (worker == this->workers.end())
             continue;
         const auto placedRun = worker->second.placedRuns.find({ unit.task(member), unit.run });
-        if (placedRun != worker->second.placedRuns.end() && placedRun->second.begun)
+        if (placedRun != worker->second.placedRuns.end() && placedRun->second.hasBegun)
             members.push_back(member);
     }
     return members;
--- a/src/tasks/task_planner_evictions.cc
+++ b/src/tasks/task_planner_evictions.cc
@@ -15,10 +15,10 @@
 double TaskPlanner::lostWork(const Unit& unit, Millis now) const
 {
     constexpr double restartSeconds = 0.3;
-    const double weight = weightOf(unit.step().each) * static_cast<double>(unit.members());
+    const double weight = coreEquivalents(unit.step().perTask) * static_cast<double>(unit.members());
     if (unit.startedAt == 0)
         return weight * restartSeconds;
-    const double ran = static_cast<double>(now - unit.startedAt + unit.ranBefore.value_or(0)) / 1000.0;
+    const double ran = static_cast<double>(now - unit.startedAt + unit.inheritedWork.value_or(0)) / 1000.0;
     return weight * (unit.step().savesProgress ? restartSeconds : ran + restartSeconds);
 }
 
@@ -27,7 +27,7 @@
 double TaskPlanner::evictionCost(const Unit& unit, Millis now) const
 {
     const double lost = this->lostWork(unit, now);
-    return unit.step().savesProgress ? lost : lost * static_cast<double>(1 + unit.evictions);
+    return unit.step().savesProgress ? lost : lost * static_cast<double>(1 + unit.evictionCount);
 }
 
 // Core-seconds of others' work that may be thrown away so that a unit which is
@@ -36,20 +36,20 @@
 {
     if (unit.job->terms.priority == 0)
         return mostLostWork;
-    const double work = weightOf(unit.step().each) * static_cast<double>(unit.members() * this->expectedRun(unit)) / 1000.0;
+    const double work = coreEquivalents(unit.step().perTask) * static_cast<double>(unit.members() * this->expectedRun(unit)) / 1000.0;
     return work * mostLostShare;
 }
 
 bool TaskPlanner::mayEvict(const Candidate& candidate, Millis now)
 {
-    if (candidate.queueKey.useless && !candidate.queueKey.guaranteed)
+    if (candidate.queueKey.isTooLate && !candidate.queueKey.guaranteed)
         return false;
     if (candidate.unit->job->terms.priority == 0)
         return true;
     const Millis patientUntil = candidate.queueKey.latestStart - evictionLead;
     if (now >= patientUntil)
         return true;
-    this->pacer.dueBy(patientUntil);
+    this->pacer.scheduleBy(patientUntil);
     return false;
 }
 
@@ -69,20 +69,20 @@
     for (const UnitKey& victim : plan->victims) {
         Unit& stopped = this->units.at(victim);
         this->emit(PlanEventKind::UnitEvicted, victim, stopped.run, "", fmt::format("for {}, {:.0f} core-seconds lost", unit.key.job, this->lostWork(stopped, now)));
-        ++stopped.evictions;
-        snapshot.markEnding(victim, stopped.workers);
+        ++stopped.evictionCount;
+        snapshot.markStopping(victim, stopped.workers);
         this->stopUnit(stopped, now);
     }
-    snapshot.promise(request, plan->places);
+    snapshot.allocateAfterStops(request, plan->placement);
     return true;
 }
 
 // An urgent unit that waits is the first thing asked about afterwards.
 void TaskPlanner::tellRefusal(Unit& unit, EvictionRefusal refusal, double cost, double bound)
 {
-    if (unit.refusal == refusal)
+    if (unit.reportedRefusal == refusal)
         return;
-    unit.refusal = refusal;
+    unit.reportedRefusal = refusal;
     std::string why = refusal == EvictionRefusal::NoRoom ? "no runs that it may stop make room" : fmt::format("the cheapest choice loses {:.0f} core-seconds, {:.0f} are allowed", cost, bound);
     this->emit(PlanEventKind::UnitWaits, unit.key, unit.run, "", std::move(why));
 }
--- a/src/tasks/task_planner_incarnations.cc
+++ b/src/tasks/task_planner_incarnations.cc
@@ -13,34 +13,34 @@
 // After a restart a worker runs nothing and knows nothing of before.
 void TaskPlanner::loseIncarnation(Worker& worker, Millis now, const char* why)
 {
-    this->emit(PlanEventKind::WorkerGone, {}, 0, worker.seen.incarnation.id, why);
+    this->emit(PlanEventKind::WorkerGone, {}, 0, worker.description.incarnation.id, why);
     std::vector<RunRef> lost;
     for (const auto& [run, placedRun] : worker.placedRuns)
         lost.push_back(run);
     for (const RunRef& run : lost)
         this->runLost(worker, run, RunLoss::WorkerEnded, now);
-    const WorkerSighting seen = worker.seen;
+    const WorkerDescription seen = worker.description;
     worker = Worker {};
-    worker.seen = seen;
+    worker.description = seen;
     worker.listed = false;
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 // The worker has started again and knows nothing of before. Runs that it lists
 // are of its present incarnation; a start without an answer may still arrive there.
 void TaskPlanner::changeIncarnation(Worker& worker, const WorkerReport& report, Millis sentAt, bool quick, Millis now)
 {
-    this->emit(PlanEventKind::WorkerGone, {}, 0, worker.seen.incarnation.id, "a later incarnation answers");
-    const Incarnation before = worker.seen.incarnation;
-    worker.seen.incarnation.born = report.born;
+    this->emit(PlanEventKind::WorkerGone, {}, 0, worker.description.incarnation.id, "a later incarnation answers");
+    const Incarnation before = worker.description.incarnation;
+    worker.description.incarnation.born = report.born;
     // Another poll showed it, so the one that acknowledges ends may still be on its way.
-    if (quick && worker.pollUnderWay && worker.ackUnderWay > 0)
-        worker.ackLostAt = now;
-    if (worker.ackLostAt > 0)
-        worker.takesNothingUntil = worker.ackLostAt + longestLateCall;
-    worker.handled = worker.durable = worker.acknowledged = worker.ackUnderWay = 0;
+    if (quick && worker.pollInFlight && worker.ackInFlight > 0)
+        worker.ackUnansweredAt = now;
+    if (worker.ackUnansweredAt > 0)
+        worker.placementBlockedUntil = worker.ackUnansweredAt + longestLateCall;
+    worker.handledUpTo = worker.durableUpTo = worker.acknowledgedUpTo = worker.ackInFlight = 0;
     worker.ackDueBy = 0;
-    worker.trust = {};
+    worker.health = {};
     this->endsInBatch.erase(before);
     std::set<RunRef> listed;
     for (const RunningTask& running : report.running)
@@ -59,8 +59,8 @@
         } else {
             placedRun.phase = RunPhase::Starting;
             placedRun.inherited = false;
-            placedRun.wantStop(now);
-            placedRun.stopAnsweredAt = 0;
+            placedRun.requestStop(now);
+            placedRun.startRuledOutAt = 0;
             unconfirmed.push_back(placedRun);
         }
     }
@@ -71,49 +71,49 @@
     for (const RunRef& run : lost)
         this->runLost(worker, run, RunLoss::WorkerRestarted, now);
     for (auto& [run, placedRun] : worker.placedRuns) {
-        Unit* unit = placedRun.stray ? nullptr : this->find(placedRun.unit);
+        Unit* unit = placedRun.orphaned ? nullptr : this->find(placedRun.unit);
         if (!unit)
             continue;
         for (Incarnation& incarnation : unit->workers) {
             if (incarnation == before)
-                incarnation = worker.seen.incarnation;
+                incarnation = worker.description.incarnation;
         }
     }
 }
 
 void TaskPlanner::rememberLostStart(Worker& worker, PlacedRun& placedRun, Millis now)
 {
-    placedRun.startLost = true;
-    std::erase_if(worker.lostStarts, [now](const auto& row) { return now >= row.second + longestLateCall; });
-    worker.lostStarts[placedRun.run] = now;
+    placedRun.hasUnansweredStart = true;
+    std::erase_if(worker.unansweredStarts, [now](const auto& row) { return now >= row.second + longestLateCall; });
+    worker.unansweredStarts[placedRun.run] = now;
 }
 
 bool TaskPlanner::mayStartLate(const Worker& worker, const RunRef& run, Millis now)
 {
-    const auto found = worker.lostStarts.find(run);
-    return found != worker.lostStarts.end() && now < found->second + longestLateCall;
+    const auto found = worker.unansweredStarts.find(run);
+    return found != worker.unansweredStarts.end() && now < found->second + longestLateCall;
 }
 
 // Calls that got no answer, which a later incarnation would take for its own.
 bool TaskPlanner::mayHaveLateCalls(const Worker& worker, Millis now)
 {
-    const bool ackMayCome = worker.ackLostAt > 0 && now < worker.ackLostAt + longestLateCall;
-    return ackMayCome || std::any_of(worker.lostStarts.begin(), worker.lostStarts.end(), [now](const auto& row) { return now < row.second + longestLateCall; });
+    const bool ackMayCome = worker.ackUnansweredAt > 0 && now < worker.ackUnansweredAt + longestLateCall;
+    return ackMayCome || std::any_of(worker.unansweredStarts.begin(), worker.unansweredStarts.end(), [now](const auto& row) { return now < row.second + longestLateCall; });
 }
 
 // A later incarnation knows of no run that ended before. Of one whose start had no answer it
 // would take that start for a new one, and the task would run there beside its next run.
 void TaskPlanner::stopLateStarts(Worker& worker, Millis now)
 {
-    for (const auto& [run, lostAt] : worker.lostStarts) {
+    for (const auto& [run, lostAt] : worker.unansweredStarts) {
         if (!mayStartLate(worker, run, now) || worker.placedRuns.contains(run))
             continue;
         PlacedRun late { .run = run, .unit = this->unitOf(run.task) };
-        late.stray = true;
+        late.orphaned = true;
         late.phase = RunPhase::Starting;
-        late.room = this->roomOf(run.task);
-        late.wantStop(now);
-        worker.used += late.room;
+        late.resources = this->roomOf(run.task);
+        late.requestStop(now);
+        worker.used += late.resources;
         worker.placedRuns.emplace(run, late);
     }
 }
--- a/src/tasks/task_planner_orders.cc
+++ b/src/tasks/task_planner_orders.cc
@@ -1,6 +1,6 @@
 // Orders: what has to be recorded first, and which calls to workers are due.
 
-#include "tasks/learned.h"
+#include "tasks/estimates_record.h"
 #include "tasks/planner_limits.h"
 #include "tasks/task_planner.h"
 
@@ -41,7 +41,7 @@
         row.crashes = unit.crashes.all();
         row.suspect = unit.suspect;
         if (!row.crashes.empty())
-            row.begun = this->begunMembers(unit);
+            row.startedMembers = this->begunMembers(unit);
         progress.units.push_back(std::move(row));
     }
     return progress;
@@ -76,16 +76,16 @@
     if (this->batchUnderWay)
         return;
     for (const auto& [id, worker] : this->workers) {
-        if (worker.handled > worker.durable)
-            this->endsInBatch[worker.seen.incarnation] = worker.handled;
+        if (worker.handledUpTo > worker.durableUpTo)
+            this->endsInBatch[worker.description.incarnation] = worker.handledUpTo;
     }
     if (!this->recordDue(now))
         return;
     if (this->dirty.empty() && this->toForget.empty()) {
         // Ends that changed nothing are as durable as they will ever be.
         for (const auto& [incarnation, number] : this->endsInBatch) {
-            if (Worker* worker = this->find(incarnation); worker && worker->seen.incarnation == incarnation)
-                worker->durable = number;
+            if (Worker* worker = this->find(incarnation); worker && worker->description.incarnation == incarnation)
+                worker->durableUpTo = number;
         }
         this->endsInBatch.clear();
         return;
@@ -96,7 +96,7 @@
         this->recordJob(id, batch);
     if (now >= this->learnedAt + learnedEvery) {
         this->learnedAt = now;
-        batch.plans.emplace_back(keyText({ RecordKind::Learned, "" }), encodeLearned(this->runTimes, this->speeds));
+        batch.plans.emplace_back(formatKey({ RecordKind::Estimates, "" }), encodeEstimates(this->runTimes, this->speeds));
     }
     this->recordForgotten(batch);
     this->dirty.clear();
@@ -114,9 +114,9 @@
     if (found == this->jobs.end())
         return;
     ActiveJob& active = found->second;
-    batch.plans.emplace_back(keyText({ RecordKind::Progress, id }), encodeProgress(this->progressOf(active)));
+    batch.plans.emplace_back(formatKey({ RecordKind::Progress, id }), encodeProgress(this->progressOf(active)));
     if (active.state != active.recordedState)
-        batch.jobs.emplace_back(keyText({ RecordKind::State, id }), encodeState(active.state));
+        batch.jobs.emplace_back(formatKey({ RecordKind::State, id }), encodeState(active.state));
     active.recordedState = active.state;
     if (!isFinal(active.state))
         return;
@@ -134,11 +134,11 @@
 void TaskPlanner::recordForgotten(RecordBatch& batch)
 {
     for (const std::string& id : this->plansOver)
-        batch.plans.emplace_back(keyText({ RecordKind::Progress, id }), "");
+        batch.plans.emplace_back(formatKey({ RecordKind::Progress, id }), "");
     this->plansOver.clear();
     for (const std::string& id : this->toForget) {
         for (const RecordKind kind : { RecordKind::Cancel, RecordKind::State, RecordKind::Job })
-            batch.jobs.emplace_back(keyText({ kind, id }), "");
+            batch.jobs.emplace_back(formatKey({ kind, id }), "");
     }
     this->toForget.clear();
 }
@@ -146,7 +146,7 @@
 // The capacity may have shrunk since the run was placed: a record can take seconds.
 bool TaskPlanner::isWithinCapacity(const Worker& worker)
 {
-    return worker.used.within(worker.seen.capacity);
+    return worker.used.fitsIn(worker.description.capacity);
 }
 
 void TaskPlanner::recorded(std::int64_t batch, Millis now)
@@ -156,9 +156,9 @@
     this->batchUnderWay = false;
     for (const auto& [incarnation, number] : this->endsInBatch) {
         Worker* worker = this->find(incarnation);
-        if (!worker || worker->seen.incarnation != incarnation)
+        if (!worker || worker->description.incarnation != incarnation)
             continue; // A later incarnation counts its ends anew.
-        worker->durable = number;
+        worker->durableUpTo = number;
         if (worker->ackDueBy == 0)
             worker->ackDueBy = now + longestAckDelay;
     }
@@ -190,30 +190,30 @@
     ++placedRun.startsSent;
     worker.lastStartAt = now;
     this->grantLease(worker, now);
-    const std::string* ticket = this->ticketFor(unit.key, worker.seen.incarnation, now);
-    this->startOrders.push_back({ worker.seen.incarnation, worker.seen.address, placedRun.run, this->jobs.at(placedRun.run.task.job).text, unit.checkpoint, ticket ? *ticket : "", now });
+    const std::string* ticket = this->ticketFor(unit.key, worker.description.incarnation, now);
+    this->startOrders.push_back({ worker.description.incarnation, worker.description.address, placedRun.run, this->jobs.at(placedRun.run.task.job).text, unit.checkpoint, ticket ? *ticket : "", now });
 }
 
 // A run that had not begun when its worker took the stop: a poll sent since then tells that it
 // is not there. The answer to another stop would have a later poll waited for, each time.
 bool TaskPlanner::isStoppedBeforeStart(const Worker& worker, const PlacedRun& placedRun)
 {
-    return placedRun.phase == RunPhase::Starting && placedRun.stopAnsweredAt > 0 && placedRun.stopAnsweredAt >= worker.incarnationShownAt;
+    return placedRun.phase == RunPhase::Starting && placedRun.startRuledOutAt > 0 && placedRun.startRuledOutAt >= worker.incarnationConfirmedAt;
 }
 
 void TaskPlanner::makeStops(Millis now, Orders& orders)
 {
     for (auto& [id, worker] : this->workers) {
-        if (worker.seen.address.empty())
+        if (worker.description.address.empty())
             continue;
         for (auto& [run, placedRun] : worker.placedRuns) {
-            if (!placedRun.stopWanted || placedRun.phase == RunPhase::Recording || placedRun.stopUnderWay)
+            if (!placedRun.stopRequested || placedRun.phase == RunPhase::Recording || placedRun.stopInFlight)
                 continue;
             if (now < placedRun.nextStopAt || isStoppedBeforeStart(worker, placedRun))
                 continue;
-            placedRun.stopUnderWay = true;
+            placedRun.stopInFlight = true;
             placedRun.nextStopAt = now + stopRetry + this->options.stopTimeout;
-            orders.stops.push_back({ worker.seen.incarnation, worker.seen.address, run });
+            orders.stops.push_back({ worker.description.incarnation, worker.description.address, run });
         }
     }
 }
--- a/src/tasks/task_planner_polls.cc
+++ b/src/tasks/task_planner_polls.cc
@@ -28,60 +28,60 @@
 // A run whose stop was answered has an end there, or will not begin any more.
 bool TaskPlanner::isEndExpected(const Worker& worker)
 {
-    return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) { return row.second.stopAnsweredAt > 0 && row.second.stopAnsweredAt >= worker.pollSentAt; });
+    return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) { return row.second.startRuledOutAt > 0 && row.second.startRuledOutAt >= worker.pollSentAt; });
 }
 
 bool TaskPlanner::isLeaseHalfOver(const Worker& worker, Millis now) const
 {
-    return worker.known && worker.isLive() && now + this->options.longestLease / 2 >= worker.leaseOverBy;
+    return worker.hasAnswered && worker.needsLease() && now + this->options.longestLease / 2 >= worker.leaseEndsBy;
 }
 
 // A start whose stop has been answered is settled by the next poll. One that waits
 // for an end would hold up its task, so another goes beside it.
 bool TaskPlanner::isBesideDue(const Worker& worker, Millis now) const
 {
-    if (worker.quickPollUnderWay)
+    if (worker.quickPollInFlight)
         return false;
-    if (worker.known && !worker.silent && this->isDoubted(worker, now))
+    if (worker.hasAnswered && !worker.silent && this->isDoubted(worker, now))
         return true;
-    if (!worker.pollUnderWay)
+    if (!worker.pollInFlight)
         return false;
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) {
         const PlacedRun& placedRun = row.second;
-        const bool awaitsSettling = placedRun.phase == RunPhase::Starting && placedRun.stopAnsweredAt > 0 && placedRun.stopAnsweredAt >= worker.pollSentAt;
+        const bool awaitsSettling = placedRun.phase == RunPhase::Starting && placedRun.startRuledOutAt > 0 && placedRun.startRuledOutAt >= worker.pollSentAt;
         return awaitsSettling || (!worker.silent && this->isCheckDue(placedRun, now));
     });
 }
 
 bool TaskPlanner::isPollDue(const Worker& worker, Millis now) const
 {
-    if (worker.pollUnderWay || now < worker.nextPollAt)
+    if (worker.pollInFlight || now < worker.nextPollAt)
         return false;
-    const bool calm = worker.known && !worker.silent;
-    const bool ackDue = worker.durable > worker.acknowledged && worker.ackDueBy > 0 && now >= worker.ackDueBy;
-    if (calm && !worker.isLive() && !ackDue)
+    const bool calm = worker.hasAnswered && !worker.silent;
+    const bool ackDue = worker.durableUpTo > worker.acknowledgedUpTo && worker.ackDueBy > 0 && now >= worker.ackDueBy;
+    if (calm && !worker.needsLease() && !ackDue)
         return false;
     // An end that is not durable yet would come back at once.
-    return !calm || worker.handled <= worker.durable || now + this->options.longestLease / 2 >= worker.leaseOverBy;
+    return !calm || worker.handledUpTo <= worker.durableUpTo || now + this->options.longestLease / 2 >= worker.leaseEndsBy;
 }
 
 // A lease that is over already is not renewed: the poll only asks what has become of the runs.
 void TaskPlanner::poll(Worker& worker, Millis now, Orders& orders) const
 {
-    const bool renews = worker.known && !worker.silent && worker.isLive() && now < worker.leaseOverBy;
-    worker.pollUnderWay = true;
+    const bool renews = worker.hasAnswered && !worker.silent && worker.needsLease() && now < worker.leaseEndsBy;
+    worker.pollInFlight = true;
     worker.pollSentAt = now;
-    worker.ackUnderWay = worker.isIncarnationProven() ? worker.durable : 0;
+    worker.ackInFlight = worker.isIncarnationProven() ? worker.durableUpTo : 0;
     worker.ackDueBy = 0;
     if (renews)
         this->grantLease(worker, now);
-    orders.polls.push_back({ worker.seen.incarnation, worker.seen.address, worker.ackUnderWay, renews ? pollWait : 0, renews });
+    orders.polls.push_back({ worker.description.incarnation, worker.description.address, worker.ackInFlight, renews ? pollWait : 0, renews });
 }
 
 void TaskPlanner::pollBeside(Worker& worker, Orders& orders)
 {
-    worker.quickPollUnderWay = true;
-    orders.polls.push_back({ worker.seen.incarnation, worker.seen.address, 0, 0, false, true });
+    worker.quickPollInFlight = true;
+    orders.polls.push_back({ worker.description.incarnation, worker.description.address, 0, 0, false, true });
 }
 
 void TaskPlanner::makePolls(Millis now, Orders& orders)
@@ -91,7 +91,7 @@
     const bool idleMayGo = idleWanted || now >= this->idlePollsFrom;
     std::size_t idle = 0;
     for (const auto& [id, worker] : this->workers) {
-        if (worker.seen.address.empty() || (!worker.listed && worker.placedRuns.empty()))
+        if (worker.description.address.empty() || (!worker.listed && worker.placedRuns.empty()))
             continue; // Of one known only from a record, the list has to tell where it is.
         if (this->isBesideDue(worker, now))
             this->duePolls.push_back({ this->isEndExpected(worker) ? now - endExpectedLead : now, id, true });
--- a/src/tasks/task_planner_reports.cc
+++ b/src/tasks/task_planner_reports.cc
@@ -45,10 +45,10 @@
     if (!candidate.queueKey.guaranteed || now - std::max(unit.waitingSince, unit.waitReportedAt) < guaranteeWaitReported)
         return;
     unit.waitReportedAt = now;
-    const Snapshot::Offered offered = snapshot.offered(request);
+    const Snapshot::AvailableMembers offered = snapshot.countAvailableMembers(request);
     this->emit(PlanEventKind::GuaranteeWaits, unit.key, unit.run, "",
         fmt::format("for {} ms, {} members of {} accelerators, room for {} now and {} after stops, {} workers of {} take work, {}", now - unit.waitingSince, request.members,
-            request.each.accelerators, offered.now, offered.afterStops, snapshot.workers.size(), this->workers.size(), this->stopsUnderWay(now)));
+            request.perMember.accelerators, offered.startable, offered.afterStops, snapshot.workers.size(), this->workers.size(), this->stopsUnderWay(now)));
 }
 
 // Of all units that wait, since one that no round considers has to be found as well.
@@ -68,8 +68,8 @@
     const std::string& service = oldest->job->terms.service;
     std::string room = "no picture of its service";
     if (const auto snapshot = snapshots.find(service); snapshot != snapshots.end()) {
-        const Snapshot::Offered offered = snapshot->second.offered(this->requestOf(*oldest));
-        room = fmt::format("room for {} of {} members, {} unreserved, {} now", offered.free, oldest->members(), offered.unreserved, offered.now);
+        const Snapshot::AvailableMembers offered = snapshot->second.countAvailableMembers(this->requestOf(*oldest));
+        room = fmt::format("room for {} of {} members, {} unreserved, {} now", offered.free, oldest->members(), offered.unreserved, offered.startable);
     }
     const Millis recording = this->batchUnderWay ? now - this->batchMadeAt : 0;
     this->emit(PlanEventKind::WorkWaits, oldest->key, oldest->run, "",
@@ -81,7 +81,7 @@
 {
     Attendance attendance;
     for (const auto& [id, worker] : this->workers) {
-        if (worker.seen.service == service)
+        if (worker.description.service == service)
             attendance.add(this->absenceOf(worker, now));
     }
     return textOf(attendance);
@@ -94,10 +94,10 @@
     Millis longest = 0;
     std::int64_t unread = 0;
     for (const auto& [id, worker] : this->workers) {
-        unread += worker.handled > worker.durable ? 1 : 0;
+        unread += worker.handledUpTo > worker.durableUpTo ? 1 : 0;
         // An idle worker is not polled, so what was due before its start does not count.
         const Millis waited = now - std::max({ worker.nextPollAt, worker.lastStartAt, this->begunAt });
-        if (worker.pollUnderWay || !worker.isLive() || waited < pollOverdue)
+        if (worker.pollInFlight || !worker.needsLease() || waited < pollOverdue)
             continue;
         ++overdue;
         longest = std::max(longest, waited);
@@ -113,10 +113,10 @@
     std::string_view worker;
     for (const auto& [id, state] : this->workers) {
         for (const auto& [run, placedRun] : state.placedRuns) {
-            if (!placedRun.stopWanted)
+            if (!placedRun.stopRequested)
                 continue;
             ++count;
-            if (oldest && oldest->stopWantedAt <= placedRun.stopWantedAt)
+            if (oldest && oldest->stopRequestedAt <= placedRun.stopRequestedAt)
                 continue;
             oldest = &placedRun;
             worker = id;
@@ -126,7 +126,7 @@
         return "no stops under way";
     const TaskRef& task = oldest->run.task;
     return fmt::format("{} stops under way, the oldest of {}.{}.{}.{} run {} at {} for {} ms, {}", count, task.job, task.occurrence, task.step, task.index, oldest->run.run, worker,
-        now - oldest->stopWantedAt, oldest->stopAnsweredAt > 0 ? "answered" : "not answered");
+        now - oldest->stopRequestedAt, oldest->startRuledOutAt > 0 ? "answered" : "not answered");
 }
 
 } // namespace rattan::tasks
--- a/src/tasks/task_planner_rounds.cc
+++ b/src/tasks/task_planner_rounds.cc
@@ -38,7 +38,7 @@
     this->round = { .kind = kind };
     if (kind == RoundKind::None)
         return;
-    this->pacer.begun(kind, now);
+    this->pacer.roundStarted(kind, now);
     this->noticeStalls(now);
     this->clearLeaving(now);
     this->markGuaranteed();
@@ -60,7 +60,7 @@
     if (this->idlePollsFrom > now)
         next = std::min(next, this->idlePollsFrom);
     for (const auto& [id, worker] : this->workers) {
-        if (!worker.pollUnderWay && worker.nextPollAt > now)
+        if (!worker.pollInFlight && worker.nextPollAt > now)
             next = std::min(next, worker.nextPollAt);
         if (worker.ackDueBy > now)
             next = std::min(next, worker.ackDueBy);
@@ -70,8 +70,8 @@
 
 Millis TaskPlanner::expectedRun(const Unit& unit) const
 {
-    const Millis whole = this->runTimes.expect(unit.job->terms.queue, unit.step().estimate).work;
-    return std::max<Millis>(static_cast<Millis>(static_cast<double>(whole) * (1 - unit.saved)), 1);
+    const Millis whole = this->runTimes.forecast(unit.job->terms.queue, unit.step().estimate).work;
+    return std::max<Millis>(static_cast<Millis>(static_cast<double>(whole) * (1 - unit.checkpointProgress)), 1);
 }
 
 Millis TaskPlanner::expectedEnd(const Unit& unit, Millis now) const
@@ -82,10 +82,10 @@
         return now + this->expectedRun(unit);
     const double done = unit.progress - unit.progressAtStart;
     constexpr double enoughToTell = 0.1;
-    if (done < enoughToTell || unit.heardAt <= unit.startedAt)
+    if (done < enoughToTell || unit.lastReportAt <= unit.startedAt)
         return std::max(now, unit.startedAt + this->expectedRun(unit));
-    const double perMilli = done / static_cast<double>(unit.heardAt - unit.startedAt);
-    return std::max(now, unit.heardAt + static_cast<Millis>((1 - unit.progress) / perMilli));
+    const double perMilli = done / static_cast<double>(unit.lastReportAt - unit.startedAt);
+    return std::max(now, unit.lastReportAt + static_cast<Millis>((1 - unit.progress) / perMilli));
 }
 
 // The worker whose member has done least; null if several are as far.
@@ -116,15 +116,15 @@
         if (unit.state != UnitState::Running || unit.stopping || unit.startedAt == 0 || unit.step().longRunning)
             continue;
         const auto limit = std::max(stallLimit, static_cast<Millis>(static_cast<double>(this->expectedRun(unit)) * stallShare));
-        if (unit.heardAt - unit.movedAt >= limit)
+        if (unit.lastReportAt - unit.lastProgressAt >= limit)
             stalled.push_back(key);
     }
     for (const UnitKey& key : stalled) {
         Unit& unit = this->units.at(key);
         this->emit(PlanEventKind::UnitStalled, key, unit.run, unit.workers.front().id, fmt::format("at {}%", static_cast<int>(unit.progress * 100)));
         if (Worker* worker = this->slowestMember(unit)) {
-            unit.avoid.push_back(worker->seen.incarnation.id);
-            worker->trust.stalled(now);
+            unit.excludedWorkers.push_back(worker->description.incarnation.id);
+            worker->health.runStalled(now);
         }
         this->stopUnit(unit, now);
     }
@@ -136,10 +136,10 @@
 {
     std::vector<UnitKey> moved;
     for (const auto& [id, worker] : this->workers) {
-        if (!worker.seen.leaving)
+        if (!worker.description.leaving)
             continue;
         for (const auto& [run, placedRun] : worker.placedRuns) {
-            const Unit* unit = placedRun.stray || placedRun.stopWanted ? nullptr : this->find(placedRun.unit);
+            const Unit* unit = placedRun.orphaned || placedRun.stopRequested ? nullptr : this->find(placedRun.unit);
             if (unit && this->expectedEnd(*unit, now) > worker.leavesAt - leaveMargin)
                 moved.push_back(placedRun.unit);
         }
@@ -164,8 +164,8 @@
     std::map<std::string, std::int64_t> used;
     for (ActiveJob* active : urgent) {
         std::int64_t& sum = used[active->job->workspace];
-        sum += acceleratorsOf(*active->job);
-        active->guaranteed = sum <= this->catalog->guaranteeOf(active->job->workspace);
+        sum += peakAcceleratorsOf(*active->job);
+        active->guaranteed = sum <= this->catalog->guaranteedAcceleratorsOf(active->job->workspace);
     }
 }
 
@@ -177,7 +177,7 @@
     double present = 0;
     for (const auto& [key, unit] : this->units) {
         if (unit.job->terms.priority == 0 && unit.job->terms.service == service)
-            present += static_cast<double>(unit.members() * unit.step().each.accelerators);
+            present += static_cast<double>(unit.members() * unit.step().perTask.accelerators);
     }
     Demanded& demanded = this->urgentDemanded[service];
     const double decayed = demanded.accelerators * std::exp2(-static_cast<double>(now - demanded.at) / halvesIn);
@@ -187,13 +187,13 @@
 
 Allocation TaskPlanner::allocationOf(const PlacedRun& placedRun, Millis now) const
 {
-    Allocation allocation { .unit = nullptr, .room = placedRun.room, .endsAt = now + this->options.stopTimeout, .ending = placedRun.stray || placedRun.stopWanted };
+    Allocation allocation { .unit = nullptr, .resources = placedRun.resources, .expectedEnd = now + this->options.stopTimeout, .stopping = placedRun.orphaned || placedRun.stopRequested };
     const auto found = this->units.find(placedRun.unit);
-    if (allocation.ending || found == this->units.end())
+    if (allocation.stopping || found == this->units.end())
         return allocation;
     const Unit& unit = found->second;
     allocation.unit = &found->first;
-    allocation.endsAt = this->expectedEnd(unit, now);
+    allocation.expectedEnd = this->expectedEnd(unit, now);
     allocation.lostWork = this->evictionCost(unit, now);
     allocation.priority = unit.job->terms.priority;
     allocation.guaranteed = this->jobs.at(unit.key.job).guaranteed;
@@ -205,7 +205,7 @@
 {
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) {
         const PlacedRun& placedRun = row.second;
-        return placedRun.phase != RunPhase::Running || placedRun.confirmedAt >= worker.trust.distrustedUntil();
+        return placedRun.phase != RunPhase::Running || placedRun.confirmedAt >= worker.health.quarantinedUntil();
     });
 }
 
@@ -213,17 +213,17 @@
 {
     if (!worker.listed)
         return Absence::Unlisted;
-    if (worker.seen.leaving)
+    if (worker.description.leaving)
         return Absence::Leaving;
     if (worker.silent)
         return Absence::Silent;
-    if (now < worker.takesNothingUntil)
+    if (now < worker.placementBlockedUntil)
         return Absence::Resting;
     if (this->isDoubted(worker, now))
         return Absence::Doubted;
-    if (!worker.trust.takesWork(now, !isOnTrial(worker)))
+    if (!worker.health.canTakeRun(now, !isOnTrial(worker)))
         return Absence::Distrusted;
-    return worker.known ? Absence::None : Absence::Unknown;
+    return worker.hasAnswered ? Absence::None : Absence::Unknown;
 }
 
 Snapshot TaskPlanner::makeSnapshot(const std::string& service, Millis now) const
@@ -231,26 +231,26 @@
     Snapshot snapshot;
     snapshot.now = now;
     for (const auto& [id, worker] : this->workers) {
-        const Absence absence = worker.seen.service == service ? this->absenceOf(worker, now) : Absence::Unlisted;
+        const Absence absence = worker.description.service == service ? this->absenceOf(worker, now) : Absence::Unlisted;
         if (absence != Absence::None && absence != Absence::Unknown)
             continue;
-        SnapshotWorker place { .id = id, .rack = worker.seen.rack, .labels = &worker.seen.labels, .capacity = worker.seen.capacity };
+        SnapshotWorker place { .id = id, .rack = worker.description.rack, .labels = &worker.description.labels, .capacity = worker.description.capacity };
         if (absence == Absence::Unknown) {
             if (worker.placedRuns.empty())
                 snapshot.unpolled.push_back(std::move(place));
             continue;
         }
         place.speed = this->speeds.of(id);
-        place.free = worker.seen.capacity;
+        place.free = worker.description.capacity;
         place.free -= worker.used;
-        place.afterStops = place.free;
-        place.oneMore = worker.trust.onTrial();
+        place.freeAfterStops = place.free;
+        place.isProbing = worker.health.isProbing();
         for (const auto& [run, placedRun] : worker.placedRuns) {
-            const bool ending = placedRun.stray || placedRun.stopWanted;
+            const bool ending = placedRun.orphaned || placedRun.stopRequested;
             if (ending)
-                place.afterStops += placedRun.room;
+                place.freeAfterStops += placedRun.resources;
             if (this->isolatedUnits.contains(placedRun.unit))
-                place.isolatedFor = placedRun.unit.job;
+                place.isolatedJob = placedRun.unit.job;
             place.allocations.push_back(this->allocationOf(placedRun, now));
         }
         snapshot.workers.push_back(std::move(place));
@@ -263,15 +263,15 @@
     const Step& step = unit.step();
     PlacementRequest request;
     request.members = unit.members();
-    request.each = step.each;
-    if (step.fills)
-        request.each.milliCores = 0;
+    request.perMember = step.perTask;
+    if (step.usesIdleCores)
+        request.perMember.milliCores = 0;
     request.label = step.label;
     request.rack = step.dataRack;
     request.sameRack = step.sameRack;
-    request.mostPerWorker = step.mostPerWorker;
-    request.avoid = &unit.avoid;
-    request.expected = this->expectedRun(unit);
+    request.maxPerWorker = step.maxPerWorker;
+    request.excludedWorkers = &unit.excludedWorkers;
+    request.expectedRunTime = this->expectedRun(unit);
     request.urgent = unit.job->terms.priority == 0;
     return request;
 }
@@ -287,21 +287,21 @@
         }
         // Tasks of a step that saved nothing are alike, and there may be hundreds.
         const Candidate* before = candidates.empty() ? nullptr : &candidates.back();
-        if (before && unit.saved == 0 && before->unit->saved == 0 && isSameStep(before->unit->key, key)) {
-            candidates.push_back({ &unit, before->queueKey, before->waitedSince });
+        if (before && unit.checkpointProgress == 0 && before->unit->checkpointProgress == 0 && isSameStep(before->unit->key, key)) {
+            candidates.push_back({ &unit, before->queueKey, before->waitingSince });
             continue;
         }
         const ActiveJob& active = this->jobs.at(key.job);
         const Job& job = *active.job;
-        Demand demand;
+        QueueKeyInputs demand;
         demand.guaranteed = active.guaranteed;
         demand.priority = job.terms.priority;
-        demand.waitedSince = now - (wall - (job.repeats > 0 ? job.dueAt(key.occurrence) : job.acceptedAt));
-        demand.expected = this->expectedRun(unit);
-        demand.chain = this->runTimes.expect(job.terms.queue, unit.step().estimate).work;
+        demand.waitingSince = now - (wall - (job.repeats > 0 ? job.dueAt(key.occurrence) : job.acceptedAt));
+        demand.remainingRunTime = this->expectedRun(unit);
+        demand.criticalPath = this->runTimes.forecast(job.terms.queue, unit.step().estimate).work;
         demand.stretch = job.terms.stretch;
-        demand.target = job.terms.latencyTarget;
-        candidates.push_back({ &unit, queueKeyOf(demand, now), demand.waitedSince });
+        demand.latencyTarget = job.terms.latencyTarget;
+        candidates.push_back({ &unit, queueKeyOf(demand, now), demand.waitingSince });
     }
     std::stable_sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) { return a.queueKey < b.queueKey; });
     return candidates;
@@ -339,54 +339,54 @@
         auto snapshot = snapshots.find(service);
         if (snapshot == snapshots.end()) {
             snapshot = snapshots.emplace(service, this->makeSnapshot(service, now)).first;
-            snapshot->second.keep(this->urgentDemand(service, now));
+            snapshot->second.reserveForUrgent(this->urgentDemand(service, now));
         }
         PlacementRequest request = this->requestOf(unit);
         std::set<std::string> isolation;
         if (unit.suspect && now - unit.waitingSince < longestIsolationWait) {
-            request.isolatedFor = unit.key.job;
+            request.isolatedJob = unit.key.job;
             isolation = this->isolationOf(unit.key.job);
-            request.isolation = isolation.empty() ? nullptr : &isolation;
+            request.isolatedWorkers = isolation.empty() ? nullptr : &isolation;
         }
         std::set<std::string> allowed;
-        const bool hasPolicy = this->options.advised && unit.job->terms.advice.valid > 0;
+        const bool hasPolicy = this->options.advised && unit.job->terms.advice.ticketValidity > 0;
         if (hasPolicy) {
             allowed = this->allowedWorkers(this->advice[{ unit.key.job, unit.key.occurrence, unit.key.step }], snapshot->second, now);
-            request.allowed = &allowed;
+            request.allowedWorkers = &allowed;
         }
-        if (request.mostPerWorker > 0) {
+        if (request.maxPerWorker > 0) {
             if (!counted || !isSameStep(*counted, unit.key))
                 siblings = this->siblingsOf(unit.key);
             counted = &unit.key;
-            request.siblings = &siblings;
+            request.siblingCounts = &siblings;
         }
         unit.waitReason = WaitReason::NoAdvice;
         if (hasPolicy && !this->isAdvised(unit, snapshot->second, request, now))
             continue;
         // A place that no set of workers can offer is not waited for.
-        if ((!request.rack.empty() || request.sameRack) && !snapshot->second.couldEverFit(request)) {
+        if ((!request.rack.empty() || request.sameRack) && !snapshot->second.fitsWhenEmpty(request)) {
             request.rack.clear();
             request.sameRack = false;
         }
-        bool couldFit = snapshot->second.couldEverFit(request);
+        bool couldFit = snapshot->second.fitsWhenEmpty(request);
         if (!couldFit) {
-            request.avoid = nullptr; // Rather one that failed it than none.
-            couldFit = !unit.avoid.empty() && snapshot->second.couldEverFit(request);
+            request.excludedWorkers = nullptr; // Rather one that failed it than none.
+            couldFit = !unit.excludedWorkers.empty() && snapshot->second.fitsWhenEmpty(request);
         }
-        const bool plain = request.isolatedFor.empty() && request.mostPerWorker == 0 && unit.avoid.empty() && !hasPolicy;
+        const bool plain = request.isolatedJob.empty() && request.maxPerWorker == 0 && unit.excludedWorkers.empty() && !hasPolicy;
         FailedRequests& failed = failedRequests[service];
-        const bool hopeless = failed.cover(request);
+        const bool hopeless = failed.covers(request);
         if (!hopeless && this->tryPlace(candidate, snapshot->second, request, now)) {
-            if (request.siblings)
+            if (request.siblingCounts)
                 count(siblings, unit.workers);
             continue;
         }
         unit.waitReason = WaitReason::NoIsolation;
-        if (!request.isolatedFor.empty())
+        if (!request.isolatedJob.empty())
             continue; // Its siblings may find a place, and none is kept for it.
         // Stopping others throws work away; the idle workers that a planner which has
         // just taken over has not heard yet answer within a fraction of a second.
-        const bool roomIsNear = !snapshot->second.unpolled.empty() && snapshot->second.couldFitUnpolled(request);
+        const bool roomIsNear = !snapshot->second.unpolled.empty() && snapshot->second.fitsOnUnpolledWorkers(request);
         if (couldFit && !roomIsNear && evictionSearches < mostEvictionSearches && this->mayEvict(candidate, now)) {
             ++evictionSearches;
             ++this->round.evictionSearches;
@@ -398,7 +398,7 @@
         }
         unit.waitReason = WaitReason::NoRoom;
         this->reportWait(candidate, snapshot->second, request, now);
-        if (unit.avoid.empty())
+        if (unit.excludedWorkers.empty())
             blocked = &unit.key;
         if (plain && !hopeless)
             failed.add(request);
@@ -407,9 +407,9 @@
             snapshot->second.reserve(request);
         }
     }
-    if (this->round.kind == RoundKind::Whole && !this->isAdviceLeft)
+    if (this->round.kind == RoundKind::Full && !this->isAdviceLeft)
         ++this->advicePass;
-    if (this->round.kind == RoundKind::Whole)
+    if (this->round.kind == RoundKind::Full)
         this->reportOldestWait(candidates, snapshots, now);
 }
 
@@ -417,22 +417,22 @@
 {
     Unit& unit = *candidate.unit;
     ++this->round.searches;
-    if (const auto places = snapshot.findFreeAtPace(request)) {
+    if (const auto places = snapshot.findFreeBySpeed(request)) {
         std::vector<std::string> chosen;
         for (const std::size_t index : *places)
             chosen.push_back(snapshot.workers[index].id);
-        snapshot.take(request, *places);
+        snapshot.allocate(request, *places);
         const Step& step = unit.step();
-        unit.placedFar = (!step.dataRack.empty() && request.rack.empty()) || (step.sameRack && !request.sameRack);
+        unit.placedRemotely = (!step.dataRack.empty() && request.rack.empty()) || (step.sameRack && !request.sameRack);
         this->place(unit, chosen, now);
         ++this->round.placed;
         unit.waitReportedAt = 0;
-        if (!request.isolatedFor.empty())
+        if (!request.isolatedJob.empty())
             this->isolatedUnits.insert(unit.key);
         return true;
     }
     if (const auto places = snapshot.findAfterStops(request)) {
-        snapshot.promise(request, *places);
+        snapshot.allocateAfterStops(request, *places);
         unit.waitReason = WaitReason::RoomPromised;
         this->reportWait(candidate, snapshot, request, now);
         return true;
@@ -444,26 +444,26 @@
 {
     ++unit.run;
     unit.state = UnitState::Running;
-    unit.left = static_cast<std::int64_t>(chosen.size());
-    unit.failed = false;
+    unit.membersLeft = static_cast<std::int64_t>(chosen.size());
+    unit.memberFailed = false;
     unit.stopping = false;
-    unit.refusal = EvictionRefusal::None;
+    unit.reportedRefusal = EvictionRefusal::None;
     unit.placedAt = now;
-    unit.adopted = false;
+    unit.inherited = false;
     unit.startedAt = 0;
-    unit.ranBefore.reset();
-    unit.progress = unit.saved;
-    unit.progressAtStart = unit.saved;
-    unit.movedAt = now;
-    unit.heardAt = 0;
+    unit.inheritedWork.reset();
+    unit.progress = unit.checkpointProgress;
+    unit.progressAtStart = unit.checkpointProgress;
+    unit.lastProgressAt = now;
+    unit.lastReportAt = 0;
     unit.workers.clear();
     this->dequeue(unit.key);
     for (std::size_t member = 0; member < chosen.size(); ++member) {
         Worker& worker = this->workers.at(chosen[member]);
-        unit.workers.push_back(worker.seen.incarnation);
+        unit.workers.push_back(worker.description.incarnation);
         PlacedRun placedRun { .run = { unit.task(static_cast<std::int64_t>(member)), unit.run }, .unit = unit.key };
-        placedRun.room = this->roomOf(placedRun.run.task);
-        worker.used += placedRun.room;
+        placedRun.resources = this->roomOf(placedRun.run.task);
+        worker.used += placedRun.resources;
         worker.placedRuns.emplace(placedRun.run, placedRun);
         this->startsToRecord.emplace_back(chosen[member], placedRun.run);
     }
--- a/src/tasks/task_planner_violations.cc
+++ b/src/tasks/task_planner_violations.cc
@@ -28,13 +28,13 @@
     };
     std::map<TaskRef, int> live;
     for (const auto& [id, worker] : this->workers) {
-        Room used;
+        Resources used;
         for (const auto& [run, placedRun] : worker.placedRuns) {
-            used += placedRun.room;
+            used += placedRun.resources;
             const auto unit = this->units.find(placedRun.unit);
-            if (!placedRun.stray && (unit == this->units.end() || unit->second.run != run.run || unit->second.state != UnitState::Running))
+            if (!placedRun.orphaned && (unit == this->units.end() || unit->second.run != run.run || unit->second.state != UnitState::Running))
                 found.push_back("a run without its unit: " + run.task.job);
-            if (!placedRun.stray && ++live[run.task] > 1)
+            if (!placedRun.orphaned && ++live[run.task] > 1)
                 found.push_back("a task twice: " + run.task.job);
             if (placedRun.phase == RunPhase::Recording && !isRecorded(id, run))
                 found.push_back("a run that waits for a record nobody makes: " + run.task.job);
@@ -58,8 +58,8 @@
         if (unit.state == UnitState::Waiting)
             continue;
         const std::int64_t placed = this->membersPlaced(unit);
-        if (unit.state != UnitState::Running || placed == 0 || placed != unit.left || (placed < unit.members() && !unit.stopping))
-            found.push_back(fmt::format("a unit with {} of {} members on workers that counts {}: {}", placed, unit.members(), unit.left, key.job));
+        if (unit.state != UnitState::Running || placed == 0 || placed != unit.membersLeft || (placed < unit.members() && !unit.stopping))
+            found.push_back(fmt::format("a unit with {} of {} members on workers that counts {}: {}", placed, unit.members(), unit.membersLeft, key.job));
     }
     for (const UnitKey& key : this->waitingUnits) {
         if (!this->units.contains(key))
@@ -75,7 +75,7 @@
         if (worker == this->workers.end())
             continue;
         const auto run = worker->second.placedRuns.find({ unit.task(static_cast<std::int64_t>(member)), unit.run });
-        placed += run != worker->second.placedRuns.end() && !run->second.stray ? 1 : 0;
+        placed += run != worker->second.placedRuns.end() && !run->second.orphaned ? 1 : 0;
     }
     return placed;
 }
@@ -103,7 +103,7 @@
 {
     const StepState& state = occurrence.steps[index];
     const Step& step = active.job->steps[index];
-    if (!state.begun) {
+    if (!state.started) {
         const auto isDone = [&occurrence](std::int64_t earlier) { return occurrence.steps[static_cast<std::size_t>(earlier)].done; };
         return std::all_of(step.dependsOn.begin(), step.dependsOn.end(), isDone) ? "a step whose turn has come has not begun" : "";
     }
@@ -114,7 +114,7 @@
     if (static_cast<std::int64_t>(left.size()) + done != (step.gang ? 1 : step.count))
         return "a unit that is neither there nor done";
     const auto count = static_cast<std::int64_t>(left.size());
-    return state.left != count || state.done != (count == 0) ? "a step that miscounts its units" : "";
+    return state.unitsLeft != count || state.done != (count == 0) ? "a step that miscounts its units" : "";
 }
 
 } // namespace rattan::tasks
--- a/src/tasks/task_planner_workers.cc
+++ b/src/tasks/task_planner_workers.cc
@@ -20,30 +20,30 @@
 void TaskPlanner::grantLease(Worker& worker, Millis now) const
 {
     const auto longest = static_cast<Millis>(static_cast<double>(this->options.longestLease) * slowestClock);
-    worker.leaseOverBy = std::max(worker.leaseOverBy, now + longest + clockSlack);
+    worker.leaseEndsBy = std::max(worker.leaseEndsBy, now + longest + clockSlack);
 }
 
-void TaskPlanner::workersSeen(const std::vector<WorkerSighting>& sightings, Millis now)
+void TaskPlanner::workersSeen(const std::vector<WorkerDescription>& sightings, Millis now)
 {
     std::set<std::string> listed;
-    for (const WorkerSighting& seen : sightings) {
+    for (const WorkerDescription& seen : sightings) {
         listed.insert(seen.incarnation.id);
         const auto [found, isNew] = this->workers.try_emplace(seen.incarnation.id);
         Worker& worker = found->second;
-        if (!isNew && worker.seen.incarnation.born > seen.incarnation.born)
+        if (!isNew && worker.description.incarnation.born > seen.incarnation.born)
             continue; // An entry of a incarnation that is known to be over.
-        if (seen.leaving && !worker.seen.leaving)
+        if (seen.leaving && !worker.description.leaving)
             worker.leavesAt = now + seen.remaining;
-        if (worker.seen.leaving != seen.leaving || !worker.listed)
-            this->pacer.changed();
-        const Incarnation known = worker.seen.incarnation;
-        worker.seen = seen;
+        if (worker.description.leaving != seen.leaving || !worker.listed)
+            this->pacer.markChanged();
+        const Incarnation known = worker.description.incarnation;
+        worker.description = seen;
         worker.listed = true;
         // Which runs are of the later incarnation only a poll can tell: a start that was
         // meant for the earlier one may have been carried out by this one.
         if (!isNew && known.born < seen.incarnation.born) {
-            worker.seen.incarnation = known;
-            worker.known = false;
+            worker.description.incarnation = known;
+            worker.hasAnswered = false;
             worker.nextPollAt = std::min(worker.nextPollAt, now);
         }
     }
@@ -67,43 +67,43 @@
     Worker* worker = this->find(incarnation);
     if (!worker)
         return;
-    if (report.born < worker->seen.incarnation.born && report.born > 0)
+    if (report.born < worker->description.incarnation.born && report.born > 0)
         return this->pollFailed(incarnation, quick, WorkerFault::NoAnswer, now); // Overtaken by a poll at the present incarnation.
-    if (report.born > worker->seen.incarnation.born)
+    if (report.born > worker->description.incarnation.born)
         this->changeIncarnation(*worker, report, sentAt, quick, now);
-    if (!worker->known)
+    if (!worker->hasAnswered)
         this->emit(PlanEventKind::WorkerKnown, {}, 0, incarnation.id, fmt::format("{} runs, {} ends", report.running.size(), report.ended.size()));
-    (quick ? worker->quickPollUnderWay : worker->pollUnderWay) = false;
-    worker->known = true;
+    (quick ? worker->quickPollInFlight : worker->pollInFlight) = false;
+    worker->hasAnswered = true;
     worker->silent = false;
-    worker->heardAt = now;
-    worker->pollPause = 0;
+    worker->lastAnswerAt = now;
+    worker->pollBackoff = 0;
     worker->nextPollAt = now;
-    worker->incarnationShownAt = std::max(worker->incarnationShownAt, sentAt);
+    worker->incarnationConfirmedAt = std::max(worker->incarnationConfirmedAt, sentAt);
     if (!quick)
-        worker->acknowledged = std::max(worker->acknowledged, worker->ackUnderWay);
-    if (worker->acknowledged >= worker->durable)
+        worker->acknowledgedUpTo = std::max(worker->acknowledgedUpTo, worker->ackInFlight);
+    if (worker->acknowledgedUpTo >= worker->durableUpTo)
         worker->ackDueBy = 0;
-    this->pacer.changed();
+    this->pacer.markChanged();
     for (const EndedTask& end : report.ended)
         this->applyEnd(*worker, end, now);
     for (const RunningTask& running : report.running)
         this->applyRunning(*worker, running, now);
     this->settleUnlisted(*worker, report, sentAt, now);
     // Somebody has renewed its lease later than this planner knew of.
-    if (!report.running.empty() && now >= worker->leaseOverBy)
+    if (!report.running.empty() && now >= worker->leaseEndsBy)
         this->grantLease(*worker, now);
 }
 
 void TaskPlanner::fellSilent(Worker& worker, Millis now)
 {
     worker.silent = true;
-    this->domainDoubts.wentSilent(worker.seen.domain, worker.seen.incarnation.id, now);
+    this->domainDoubts.addSilentWorker(worker.description.domain, worker.description.incarnation.id, now);
 }
 
 bool TaskPlanner::isDoubted(const Worker& worker, Millis now) const
 {
-    return this->domainDoubts.covers(worker.seen.domain, worker.heardAt, now);
+    return this->domainDoubts.isSuspected(worker.description.domain, worker.lastAnswerAt, now);
 }
 
 void TaskPlanner::pollFailed(const Incarnation& incarnation, bool quick, WorkerFault fault, Millis now)
@@ -111,7 +111,7 @@
     Worker* worker = this->find(incarnation);
     if (!worker)
         return;
-    (quick ? worker->quickPollUnderWay : worker->pollUnderWay) = false;
+    (quick ? worker->quickPollInFlight : worker->pollInFlight) = false;
     if (fault == WorkerFault::Deposed) {
         this->isDeposed = true;
         return;
@@ -121,26 +121,26 @@
         worker->nextPollAt = now + longestPollPause;
         return;
     }
-    if (!quick && worker->ackUnderWay > 0 && fault == WorkerFault::NoAnswer)
-        worker->ackLostAt = now;
+    if (!quick && worker->ackInFlight > 0 && fault == WorkerFault::NoAnswer)
+        worker->ackUnansweredAt = now;
     if (!worker->silent)
         this->emit(PlanEventKind::WorkerSilent, {}, 0, incarnation.id, std::string(nameOf(fault)));
     this->fellSilent(*worker, now);
-    worker->pollPause = std::clamp(worker->pollPause * 2, firstPollPause, longestPollPause);
-    worker->nextPollAt = now + worker->pollPause;
+    worker->pollBackoff = std::clamp(worker->pollBackoff * 2, firstPollPause, longestPollPause);
+    worker->nextPollAt = now + worker->pollBackoff;
 }
 
 void TaskPlanner::applyEnd(Worker& worker, const EndedTask& end, Millis now)
 {
-    if (end.number <= worker.handled)
+    if (end.number <= worker.handledUpTo)
         return;
-    worker.handled = end.number;
+    worker.handledUpTo = end.number;
     if (end.end == RunEnd::Done)
-        worker.trust.done();
+        worker.health.runSucceeded();
     if (end.end == RunEnd::Failed && worker.placedRuns.contains(end.run)) {
-        worker.trust.failed(now);
-        if (worker.trust.onTrial())
-            this->emit(PlanEventKind::WorkerDistrusted, {}, 0, worker.seen.incarnation.id, "runs fail one after the other");
+        worker.health.runFailed(now);
+        if (worker.health.isProbing())
+            this->emit(PlanEventKind::WorkerDistrusted, {}, 0, worker.description.incarnation.id, "runs fail one after the other");
     }
     if (worker.placedRuns.contains(end.run))
         this->memberGone(worker, end.run, end.end, end.checkpoint, now);
@@ -169,20 +169,20 @@
     if (found == worker.placedRuns.end()) {
         // A run that was given up, or of a job that is over: it only takes room.
         PlacedRun stray { .run = running.run, .unit = this->unitOf(running.run.task) };
-        stray.stray = true;
+        stray.orphaned = true;
         stray.phase = RunPhase::Running;
-        stray.wantStop(now);
-        stray.room = this->roomOf(running.run.task);
-        worker.used += stray.room;
+        stray.requestStop(now);
+        stray.resources = this->roomOf(running.run.task);
+        worker.used += stray.resources;
         worker.placedRuns.emplace(running.run, stray);
         return;
     }
     PlacedRun& placedRun = found->second;
     if (placedRun.phase != RunPhase::Running)
         this->confirmStart(placedRun, now);
-    const bool firstListed = placedRun.listedAt == 0;
-    placedRun.listedAt = now;
-    Unit* unit = placedRun.stray ? nullptr : this->find(placedRun.unit);
+    const bool firstListed = placedRun.lastListedAt == 0;
+    placedRun.lastListedAt = now;
+    Unit* unit = placedRun.orphaned ? nullptr : this->find(placedRun.unit);
     if (!unit || unit->run != running.run.run)
         return;
     unit->crashes.retract(running.run.run, running.run.task.index);
@@ -192,32 +192,32 @@
     if (unit->startedAt == 0) {
         unit->startedAt = now;
         unit->progressAtStart = progress;
-        unit->movedAt = now;
+        unit->lastProgressAt = now;
     }
-    if (unit->adopted && firstListed)
+    if (unit->inherited && firstListed)
         this->learnWorkBefore(*unit, progress, now);
     // Members have unequal work, and one that is through waits for the others.
     if (progress > placedRun.progress) {
         placedRun.progress = progress;
-        unit->movedAt = now;
+        unit->lastProgressAt = now;
         unit->progress = this->leastProgress(*unit);
-        if (unit->step().longRunning && progress >= 1 && placedRun.confirmedAt >= worker.trust.distrustedUntil())
-            worker.trust.done(); // It serves, and no end will tell so.
+        if (unit->step().longRunning && progress >= 1 && placedRun.confirmedAt >= worker.health.quarantinedUntil())
+            worker.health.runSucceeded(); // It serves, and no end will tell so.
     }
     if (!running.checkpoint.empty() && running.checkpoint != unit->checkpoint) {
         unit->checkpoint = running.checkpoint;
-        unit->saved = progress;
+        unit->checkpointProgress = progress;
     }
-    unit->heardAt = now;
+    unit->lastReportAt = now;
 }
 
 // Nobody knows when a run began that an earlier planner started. Of a gang, the member with most
 // work tells how long it has been at work: others are further in the same time.
 void TaskPlanner::learnWorkBefore(Unit& unit, double progress, Millis now) const
 {
-    const Millis whole = this->runTimes.expect(unit.job->terms.queue, unit.step().estimate).work;
+    const Millis whole = this->runTimes.forecast(unit.job->terms.queue, unit.step().estimate).work;
     const Millis ran = static_cast<Millis>(static_cast<double>(whole) * progress) - (now - unit.startedAt);
-    unit.ranBefore = std::min(unit.ranBefore.value_or(whole), std::max<Millis>(ran, 0));
+    unit.inheritedWork = std::min(unit.inheritedWork.value_or(whole), std::max<Millis>(ran, 0));
 }
 
 double TaskPlanner::leastProgress(const Unit& unit)
@@ -248,7 +248,7 @@
         if (placedRun.phase == RunPhase::Recording || listed.contains(run))
             continue;
         const bool ranBefore = placedRun.phase == RunPhase::Running && placedRun.confirmedAt < sentAt;
-        const bool neverWill = placedRun.inherited || (placedRun.stopAnsweredAt > 0 && placedRun.stopAnsweredAt < sentAt);
+        const bool neverWill = placedRun.inherited || (placedRun.startRuledOutAt > 0 && placedRun.startRuledOutAt < sentAt);
         if (ranBefore || neverWill)
             gone.push_back(run);
     }
@@ -266,20 +266,20 @@
     if (!worker || !worker->placedRuns.contains(run))
         return;
     PlacedRun& placedRun = worker->placedRuns.at(run);
-    Unit* unit = placedRun.stray ? nullptr : this->find(placedRun.unit);
-    this->pacer.changed();
+    Unit* unit = placedRun.orphaned ? nullptr : this->find(placedRun.unit);
+    this->pacer.markChanged();
     // What an earlier try may still bring about is not undone by the answer to a later one.
-    if (placedRun.startLost && !settlesEarlierTries(answer))
+    if (placedRun.hasUnansweredStart && !settlesEarlierAttempts(answer))
         answer = StartAnswer::NoAnswer;
     const bool maySendAgain = unit && !unit->stopping && placedRun.startsSent < mostStarts && isWithinCapacity(*worker);
     switch (answer) {
     case StartAnswer::Started:
         this->confirmStart(placedRun, now);
         worker->silent = false;
-        worker->heardAt = now;
+        worker->lastAnswerAt = now;
         if (unit && unit->startedAt == 0) {
             unit->startedAt = now;
-            unit->movedAt = now;
+            unit->lastProgressAt = now;
         }
         return;
     case StartAnswer::NoAnswer:
@@ -288,16 +288,16 @@
         rememberLostStart(*worker, placedRun, now);
         if (maySendAgain)
             return this->sendStart(*worker, placedRun, *unit, now);
-        placedRun.wantStop(now);
+        placedRun.requestStop(now);
         if (unit)
             this->stopUnit(*unit, now);
         return;
     case StartAnswer::OtherIncarnation:
         this->loseIncarnation(*worker, now, "another incarnation answers");
         return;
-    case StartAnswer::Old:
+    case StartAnswer::Superseded:
         // An earlier try may have begun the run, and it may have ended since: a poll tells.
-        placedRun.stopAnsweredAt = now;
+        placedRun.startRuledOutAt = now;
         worker->nextPollAt = now;
         return;
     case StartAnswer::NotSent:
@@ -307,12 +307,12 @@
         if (maySendAgain && unit->members() > 1)
             return this->sendStart(*worker, placedRun, *unit, now);
         break;
-    case StartAnswer::NoTicket:
+    case StartAnswer::InvalidTicket:
         if (const auto known = this->advice.find({ run.task.job, run.task.occurrence, run.task.step }); known != this->advice.end())
             known->second.forget(incarnation);
         break;
-    case StartAnswer::Unwell:
-        worker->trust.failed(now);
+    case StartAnswer::Unavailable:
+        worker->health.runFailed(now);
         break;
     default:
         break;
@@ -328,15 +328,15 @@
     if (!worker || !worker->placedRuns.contains(run))
         return;
     PlacedRun& placedRun = worker->placedRuns.at(run);
-    placedRun.stopUnderWay = false;
+    placedRun.stopInFlight = false;
     if (taken) {
-        placedRun.stopAnsweredAt = now;
-        worker->heardAt = now;
+        placedRun.startRuledOutAt = now;
+        worker->lastAnswerAt = now;
         return;
     }
     this->fellSilent(*worker, now);
-    placedRun.stopPause = std::clamp(placedRun.stopPause * 2, firstOrderPause, stopRetry);
-    placedRun.nextStopAt = now + placedRun.stopPause;
+    placedRun.stopBackoff = std::clamp(placedRun.stopBackoff * 2, firstOrderPause, stopRetry);
+    placedRun.nextStopAt = now + placedRun.stopBackoff;
 }
 
 void TaskPlanner::stopUnit(Unit& unit, Millis now)
@@ -354,13 +354,13 @@
         if (!worker || !worker->placedRuns.contains(ref))
             continue;
         PlacedRun& placedRun = worker->placedRuns.at(ref);
-        placedRun.wantStop(now);
+        placedRun.requestStop(now);
         if (placedRun.phase == RunPhase::Recording)
             unsent.emplace_back(worker, ref);
     }
     for (const auto& [worker, ref] : unsent)
         this->memberGone(*worker, ref, std::nullopt, "", now);
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 void TaskPlanner::memberGone(Worker& worker, const RunRef& ref, std::optional<RunEnd> end, const std::string& checkpoint, Millis now)
@@ -370,10 +370,10 @@
     if (found == worker.placedRuns.end())
         return;
     const PlacedRun placedRun = found->second;
-    worker.used -= placedRun.room;
+    worker.used -= placedRun.resources;
     worker.placedRuns.erase(found);
-    this->pacer.changed();
-    Unit* unit = placedRun.stray ? nullptr : this->find(placedRun.unit);
+    this->pacer.markChanged();
+    Unit* unit = placedRun.orphaned ? nullptr : this->find(placedRun.unit);
     if (!unit || unit->run != run.run || unit->state != UnitState::Running)
         return;
     if (end == RunEnd::Done) {
@@ -382,29 +382,29 @@
     }
     if (!checkpoint.empty()) {
         unit->checkpoint = checkpoint;
-        unit->saved = std::max(unit->saved, unit->progress);
+        unit->checkpointProgress = std::max(unit->checkpointProgress, unit->progress);
     }
     if (end == RunEnd::Failed) {
-        unit->failed = true;
-        if (std::find(unit->avoid.begin(), unit->avoid.end(), worker.seen.incarnation.id) == unit->avoid.end())
-            unit->avoid.push_back(worker.seen.incarnation.id);
+        unit->memberFailed = true;
+        if (std::find(unit->excludedWorkers.begin(), unit->excludedWorkers.end(), worker.description.incarnation.id) == unit->excludedWorkers.end())
+            unit->excludedWorkers.push_back(worker.description.incarnation.id);
     }
-    --unit->left;
-    if (unit->left > 0 && !unit->stopping)
+    --unit->membersLeft;
+    if (unit->membersLeft > 0 && !unit->stopping)
         this->stopUnit(*unit, now);
     unit = this->find(placedRun.unit);
-    if (unit && unit->run == run.run && unit->state == UnitState::Running && unit->left == 0)
+    if (unit && unit->run == run.run && unit->state == UnitState::Running && unit->membersLeft == 0)
         this->runOver(*unit, now);
 }
 
 void TaskPlanner::expire(Millis now)
 {
     for (auto& [id, worker] : this->workers) {
-        if (worker.placedRuns.empty() || now < worker.leaseOverBy)
+        if (worker.placedRuns.empty() || now < worker.leaseEndsBy)
             continue;
         // A worker that answers has not been asked in time. It lists what has become of its
         // runs; given up unread, one that has ended well would run a second time.
-        if (worker.known && !worker.silent && worker.incarnationShownAt < worker.leaseOverBy) {
+        if (worker.hasAnswered && !worker.silent && worker.incarnationConfirmedAt < worker.leaseEndsBy) {
             worker.nextPollAt = std::min(worker.nextPollAt, now);
             continue;
         }
@@ -418,7 +418,7 @@
         this->emit(PlanEventKind::WorkerLapsed, {}, 0, id, fmt::format("{} runs, no answer for a whole lease", over.size()));
         for (const RunRef& run : over)
             this->runLost(worker, run, RunLoss::LeaseOver, now);
-        worker.known = false; // What runs there now, a poll has to tell.
+        worker.hasAnswered = false; // What runs there now, a poll has to tell.
     }
 }
 
--- a/src/tasks/testing/busy_day.cc
+++ b/src/tasks/testing/busy_day.cc
@@ -89,7 +89,7 @@
     Job job;
     job.id = fmt::format("{:016x}", ++this->jobs);
     job.workspace = std::string(this->below(2) == 0 ? "a" : "b"); // GCC 12 warns wrongly where a literal of one letter is assigned.
-    job.terms = { .queue = fmt::format("q{}", priority), .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    job.terms = { .queue = fmt::format("q{}", priority), .service = "s", .priority = priority, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     return job;
 }
 
@@ -100,7 +100,7 @@
     for (std::int64_t i = 0; i < steps; ++i) {
         Step step;
         step.count = 1 + this->below(11);
-        step.each = { 1000 * (1 + this->below(30)), 1000 * (1 + this->below(100)), 1 + this->below(8) };
+        step.perTask = { 1000 * (1 + this->below(30)), 1000 * (1 + this->below(100)), 1 + this->below(8) };
         step.estimate = 1000 + this->below(5000);
         step.gang = this->below(40) == 0;
         step.savesProgress = this->below(3) == 0;
@@ -117,7 +117,7 @@
 {
     Job job = this->jobOf(2);
     job.terms.stretch = 6;
-    job.steps.push_back({ .count = 78, .each = { 8000, 16000, 1 }, .estimate = 6000 + this->below(3000) });
+    job.steps.push_back({ .count = 78, .perTask = { 8000, 16000, 1 }, .estimate = 6000 + this->below(3000) });
     this->site.submit(job);
 }
 
--- a/src/tasks/testing/busy_day_test.cc
+++ b/src/tasks/testing/busy_day_test.cc
@@ -20,9 +20,9 @@
     Job result;
     result.id = id;
     result.workspace = "a";
-    result.terms = { .queue = "q", .service = "s", .priority = 1, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    result.terms = { .queue = "q", .service = "s", .priority = 1, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     for (std::int64_t i = 0; i < steps; ++i) {
-        result.steps.push_back({ .count = 2, .each = { 1000, 1000, 1 }, .estimate = 1000 });
+        result.steps.push_back({ .count = 2, .perTask = { 1000, 1000, 1 }, .estimate = 1000 });
         if (i > 0)
             result.steps.back().dependsOn.push_back(i - 1);
     }
@@ -110,7 +110,7 @@
         site.run(10000);
         Job wide = job("wide", 1);
         wide.steps[0].count = 1;
-        wide.steps[0].each.accelerators = 9; // More than any worker has.
+        wide.steps[0].perTask.accelerators = 9; // More than any worker has.
         site.submit(wide);
         site.submit(job("given up", 1));
         site.cancel("given up");
--- a/src/tasks/testing/crash_history_test.cc
+++ b/src/tasks/testing/crash_history_test.cc
@@ -8,71 +8,71 @@
 
 class CrashHistoryTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(CrashHistoryTest);
-    CPPUNIT_TEST(twoAreEnoughIfTheSecondWasAlone);
-    CPPUNIT_TEST(oneIsNeverEnough);
-    CPPUNIT_TEST(threeAreEnoughIfTwoWereEarly);
-    CPPUNIT_TEST(twoMoreRunsAfterThreeOfAnyKindAreEnough);
-    CPPUNIT_TEST(membersAreCountedApart);
+    CPPUNIT_TEST(twoCrashesSufficeIfTheSecondRunWasAlone);
+    CPPUNIT_TEST(oneProvenCrashNeverSuffices);
+    CPPUNIT_TEST(threeCrashesSufficeIfTwoWereEarly);
+    CPPUNIT_TEST(twoRunsAfterThreeCrashesSuffice);
+    CPPUNIT_TEST(gangMembersAreCountedSeparately);
     CPPUNIT_TEST(theSameCrashCountsOnce);
-    CPPUNIT_TEST(aRunThatIsHeardOfAgainDoesNotCount);
+    CPPUNIT_TEST(retractedCrashDoesNotCount);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void twoAreEnoughIfTheSecondWasAlone()
+    void twoCrashesSufficeIfTheSecondRunWasAlone()
     {
         this->add({ CrashEvidence::Early, CrashEvidence::Alone });
-        CPPUNIT_ASSERT(this->history.isExhausted(this->run));
+        CPPUNIT_ASSERT(this->history.shouldGiveUp(this->run));
     }
 
     // Guards against a job shown as failed although less than two workers are known to have crashed.
-    void oneIsNeverEnough()
+    void oneProvenCrashNeverSuffices()
     {
         this->add({ CrashEvidence::Unproven, CrashEvidence::Alone });
-        CPPUNIT_ASSERT(!this->history.isExhausted(this->run));
+        CPPUNIT_ASSERT(!this->history.shouldGiveUp(this->run));
     }
 
-    void threeAreEnoughIfTwoWereEarly()
+    void threeCrashesSufficeIfTwoWereEarly()
     {
         this->add({ CrashEvidence::Early, CrashEvidence::Early });
-        CPPUNIT_ASSERT(!this->history.isExhausted(this->run));
+        CPPUNIT_ASSERT(!this->history.shouldGiveUp(this->run));
         this->add({ CrashEvidence::Unproven });
-        CPPUNIT_ASSERT(this->history.isExhausted(this->run));
+        CPPUNIT_ASSERT(this->history.shouldGiveUp(this->run));
     }
 
     // Guards against a third start after a third crash, also where later runs did not crash.
-    void twoMoreRunsAfterThreeOfAnyKindAreEnough()
+    void twoRunsAfterThreeCrashesSuffice()
     {
         this->add({ CrashEvidence::Unproven, CrashEvidence::Late, CrashEvidence::Unproven });
-        CPPUNIT_ASSERT(!this->history.isExhausted(this->run));
-        CPPUNIT_ASSERT(!this->history.isExhausted(this->run + 1));
-        CPPUNIT_ASSERT(this->history.isExhausted(this->run + 2));
+        CPPUNIT_ASSERT(!this->history.shouldGiveUp(this->run));
+        CPPUNIT_ASSERT(!this->history.shouldGiveUp(this->run + 1));
+        CPPUNIT_ASSERT(this->history.shouldGiveUp(this->run + 2));
         this->add({ CrashEvidence::Late, CrashEvidence::Late });
-        CPPUNIT_ASSERT(this->history.isExhausted(this->run));
+        CPPUNIT_ASSERT(this->history.shouldGiveUp(this->run));
     }
 
-    void membersAreCountedApart()
+    void gangMembersAreCountedSeparately()
     {
         this->history.add({ 1, 0, CrashEvidence::Early });
         this->history.add({ 2, 1, CrashEvidence::Alone });
         this->history.add({ 3, 2, CrashEvidence::Alone });
-        CPPUNIT_ASSERT(!this->history.isExhausted(this->run));
+        CPPUNIT_ASSERT(!this->history.shouldGiveUp(this->run));
         this->history.add({ 4, 1, CrashEvidence::Alone });
-        CPPUNIT_ASSERT(this->history.isExhausted(this->run));
+        CPPUNIT_ASSERT(this->history.shouldGiveUp(this->run));
     }
 
     void theSameCrashCountsOnce()
     {
         CPPUNIT_ASSERT(this->history.add({ 1, 0, CrashEvidence::Early }));
         CPPUNIT_ASSERT(!this->history.add({ 1, 0, CrashEvidence::Alone }));
-        CPPUNIT_ASSERT(!this->history.isExhausted(this->run));
+        CPPUNIT_ASSERT(!this->history.shouldGiveUp(this->run));
     }
 
-    void aRunThatIsHeardOfAgainDoesNotCount()
+    void retractedCrashDoesNotCount()
     {
         this->add({ CrashEvidence::Early, CrashEvidence::Early });
         this->history.retract(1, 0);
         this->add({ CrashEvidence::Early });
-        CPPUNIT_ASSERT(!this->history.isExhausted(this->run));
+        CPPUNIT_ASSERT(!this->history.shouldGiveUp(this->run));
     }
 
 private:
--- a/src/tasks/testing/crash_test.cc
+++ b/src/tasks/testing/crash_test.cc
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr Room one { 10000, 50000, 1 };
-constexpr Room whole { 10000, 10000, 8 };
+constexpr Resources one { 10000, 50000, 1 };
+constexpr Resources whole { 10000, 10000, 8 };
 constexpr Millis crashAfter = 10;
 
-Job jobOf(const std::string& id, std::int64_t count, Room each, Millis time)
+Job jobOf(const std::string& id, std::int64_t count, Resources each, Millis time)
 {
     Job job;
     job.id = id;
     job.workspace = std::string("a"); // GCC 12 warns wrongly where a literal of one letter is assigned.
-    job.terms = { .queue = "q", .service = "s", .priority = 1, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    job.terms = { .queue = "q", .service = "s", .priority = 1, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     job.text = "work";
-    job.steps.push_back({ .count = count, .each = each, .estimate = time });
+    job.steps.push_back({ .count = count, .perTask = each, .estimate = time });
     return job;
 }
 
--- a/src/tasks/testing/free_room_test.cc
+++ b/src/tasks/testing/free_room_test.cc
@@ -12,20 +12,20 @@
 
 namespace {
 
-Job job(const std::string& id, std::int64_t count, Room each, Millis time, std::int64_t priority = 1)
+Job job(const std::string& id, std::int64_t count, Resources each, Millis time, std::int64_t priority = 1)
 {
     Job result;
     result.id = id;
     result.workspace = "a";
-    result.terms = { .queue = "q", .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    result.terms = { .queue = "q", .service = "s", .priority = priority, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     result.text = "work";
-    result.steps.push_back({ .count = count, .each = each, .estimate = time });
+    result.steps.push_back({ .count = count, .perTask = each, .estimate = time });
     return result;
 }
 
-constexpr Room whole { 10000, 10000, 8 };
-constexpr Room half { 10000, 10000, 4 };
-constexpr Room one { 10000, 10000, 1 };
+constexpr Resources whole { 10000, 10000, 8 };
+constexpr Resources half { 10000, 10000, 4 };
+constexpr Resources one { 10000, 10000, 1 };
 
 void assertSound(const VirtualSite& site)
 {
--- a/src/tasks/testing/lasting_runs_test.cc
+++ b/src/tasks/testing/lasting_runs_test.cc
@@ -12,22 +12,22 @@
 
 namespace {
 
-constexpr Room whole { 10000, 10000, 8 };
-constexpr Room half { 1000, 1000, 4 };
-constexpr Room one { 1000, 1000, 1 };
+constexpr Resources whole { 10000, 10000, 8 };
+constexpr Resources half { 1000, 1000, 4 };
+constexpr Resources one { 1000, 1000, 1 };
 
-Job job(const std::string& id, std::int64_t count, Room each, Millis time)
+Job job(const std::string& id, std::int64_t count, Resources each, Millis time)
 {
     Job result;
     result.id = id;
     result.workspace = "a";
-    result.terms = { .queue = "q", .service = "s", .priority = 1, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    result.terms = { .queue = "q", .service = "s", .priority = 1, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     result.text = "work";
-    result.steps.push_back({ .count = count, .each = each, .estimate = time });
+    result.steps.push_back({ .count = count, .perTask = each, .estimate = time });
     return result;
 }
 
-Job lasting(const std::string& id, std::int64_t count, Room each)
+Job lasting(const std::string& id, std::int64_t count, Resources each)
 {
     Job result = job(id, count, each, 1000);
     result.steps.front().longRunning = true;
@@ -40,7 +40,7 @@
     explicit Hands(int count)
         : planner({}, table, plans, now, now)
     {
-        std::vector<WorkerSighting> seen;
+        std::vector<WorkerDescription> seen;
         for (int i = 0; i < count; ++i) {
             const std::string id = fmt::format("w{}", i);
             this->workers[id];
@@ -52,7 +52,7 @@
 
     void submit(const Job& submitted)
     {
-        this->table.apply(keyText({ RecordKind::Job, submitted.id }), encodeJob(submitted), ++this->offset, this->now);
+        this->table.apply(formatKey({ RecordKind::Job, submitted.id }), encodeJob(submitted), ++this->offset, this->now);
         this->planner.jobAccepted(this->table.find(submitted.id)->job, this->now, this->now);
     }
 
--- a/src/tasks/testing/late_stop_test.cc
+++ b/src/tasks/testing/late_stop_test.cc
@@ -17,8 +17,8 @@
     Job result;
     result.id = id;
     result.workspace = "a";
-    result.terms = { .queue = "q", .service = "s", .priority = 0, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
-    result.steps.push_back({ .count = 1, .each = { 10000, 10000, 8 }, .estimate = 5000 });
+    result.terms = { .queue = "q", .service = "s", .priority = 0, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    result.steps.push_back({ .count = 1, .perTask = { 10000, 10000, 8 }, .estimate = 5000 });
     return result;
 }
 
