--- a/src/tasks/testing/learning_test.cc
+++ b/src/tasks/testing/learning_test.cc
@@ -1,11 +1,11 @@
 // Of run times, speeds of workers, the order of the queue, trust in workers, and
 // the records in which these are kept.
 
+#include "tasks/estimates_record.h"
 #include "tasks/job_table.h"
-#include "tasks/learned.h"
 #include "tasks/plan_table.h"
 #include "tasks/queue_order.h"
-#include "tasks/worker_trust.h"
+#include "tasks/worker_health.h"
 
 #include <cmath>
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,53 +20,53 @@
 class LearningTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(LearningTest);
     CPPUNIT_TEST(theBetterForecastIsUsed);
-    CPPUNIT_TEST(speedsAreLearnedFromSiblings);
-    CPPUNIT_TEST(speedsAreLearnedFromGangs);
-    CPPUNIT_TEST(whatWasLearnedIsHandedOver);
-    CPPUNIT_TEST(urgentBeforePatientAndLateLast);
-    CPPUNIT_TEST(trustEndsAfterTwoFailuresInARow);
-    CPPUNIT_TEST(recordsAreReadBack);
+    CPPUNIT_TEST(speedsAreEstimatedFromSiblings);
+    CPPUNIT_TEST(speedsAreEstimatedFromGangs);
+    CPPUNIT_TEST(estimatesAreHandedOver);
+    CPPUNIT_TEST(queueOrderIsByGuaranteePriorityAndLatestStart);
+    CPPUNIT_TEST(twoConsecutiveFailuresQuarantineAWorker);
+    CPPUNIT_TEST(decodedRecordsEqualTheEncodedOnes);
     CPPUNIT_TEST(damagedRecordsAreCounted);
-    CPPUNIT_TEST(olderRecordsChangeNothing);
+    CPPUNIT_TEST(olderRecordsAreIgnored);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void theBetterForecastIsUsed()
     {
         RunTimes times;
-        CPPUNIT_ASSERT_EQUAL(Millis { 3000 }, times.expect("q", 3000).work);
+        CPPUNIT_ASSERT_EQUAL(Millis { 3000 }, times.forecast("q", 3000).work);
         // Declared well: twice as long as said, whatever is said.
         for (const Millis declared : { 500, 4000, 1000, 9000, 2500, 700 })
-            times.learn("honest", declared, static_cast<double>(declared * 2));
-        CPPUNIT_ASSERT(std::abs(times.expect("honest", 3000).work - 6000) < 60);
+            times.addRun("honest", declared, static_cast<double>(declared * 2));
+        CPPUNIT_ASSERT(std::abs(times.forecast("honest", 3000).work - 6000) < 60);
         // Declared at random: always the same time.
         for (const Millis declared : { 500, 4000, 1000, 9000, 2500, 700 })
-            times.learn("random", declared, 2000);
-        CPPUNIT_ASSERT(std::abs(times.expect("random", 9000).work - 2000) < 20);
+            times.addRun("random", declared, 2000);
+        CPPUNIT_ASSERT(std::abs(times.forecast("random", 9000).work - 2000) < 20);
     }
 
-    void speedsAreLearnedFromSiblings()
+    void speedsAreEstimatedFromSiblings()
     {
         WorkerSpeeds speeds;
         std::mt19937_64 random(3);
-        std::lognormal_distribution<double> uneven(0, 0.2);
-        const std::vector<double> real { 0.8, 1.0, 1.25, 0.8, 1.0, 1.25 };
+        std::lognormal_distribution<double> lognormal(0, 0.2);
+        const std::vector<double> actualSpeeds { 0.8, 1.0, 1.25, 0.8, 1.0, 1.25 };
         for (int step = 0; step < 40; ++step) {
             std::vector<WorkerSpeeds::Sample> samples;
-            for (std::size_t i = 0; i < real.size(); ++i)
-                samples.push_back({ fmt::format("w{}", i), static_cast<Millis>(5000 * uneven(random) / real[i]) });
-            speeds.learnSiblings(samples);
+            for (std::size_t i = 0; i < actualSpeeds.size(); ++i)
+                samples.push_back({ fmt::format("w{}", i), static_cast<Millis>(5000 * lognormal(random) / actualSpeeds[i]) });
+            speeds.addSiblingRuns(samples);
         }
-        for (std::size_t i = 0; i < real.size(); ++i)
-            CPPUNIT_ASSERT(std::abs(speeds.of(fmt::format("w{}", i)) - real[i]) < 0.12);
+        for (std::size_t i = 0; i < actualSpeeds.size(); ++i)
+            CPPUNIT_ASSERT(std::abs(speeds.of(fmt::format("w{}", i)) - actualSpeeds[i]) < 0.12);
     }
 
-    void speedsAreLearnedFromGangs()
+    void speedsAreEstimatedFromGangs()
     {
         WorkerSpeeds speeds;
         for (int i = 0; i < 20; ++i) {
-            speeds.learnGang({ "slow", "fast1" }, { 4000, 0.05 }, 5000);
-            speeds.learnGang({ "fast1", "fast2" }, { 4000, 0.05 }, 3200);
+            speeds.addGangRun({ "slow", "fast1" }, { 4000, 0.05 }, 5000);
+            speeds.addGangRun({ "fast1", "fast2" }, { 4000, 0.05 }, 3200);
         }
         CPPUNIT_ASSERT(speeds.of("slow") < 0.92);
         CPPUNIT_ASSERT(speeds.of("fast1") > 1.0 && speeds.of("fast2") > 1.0);
@@ -74,66 +74,66 @@
         CPPUNIT_ASSERT_EQUAL(1.0, speeds.of("unknown"));
     }
 
-    void whatWasLearnedIsHandedOver()
+    void estimatesAreHandedOver()
     {
         RunTimes times;
         WorkerSpeeds speeds;
         for (int i = 0; i < 10; ++i) {
-            times.learn("q", 1000, 1500);
-            speeds.learnGang({ "a" }, { 4000, 0.05 }, 5000);
-            speeds.learnGang({ "b" }, { 4000, 0.05 }, 3200);
+            times.addRun("q", 1000, 1500);
+            speeds.addGangRun({ "a" }, { 4000, 0.05 }, 5000);
+            speeds.addGangRun({ "b" }, { 4000, 0.05 }, 3200);
         }
-        RunTimes laterTimes;
-        WorkerSpeeds laterSpeeds;
-        restoreLearned(encodeLearned(times, speeds), laterTimes, laterSpeeds);
-        CPPUNIT_ASSERT(std::abs(laterTimes.expect("q", 1000).work - times.expect("q", 1000).work) < 10);
-        CPPUNIT_ASSERT(std::abs(laterSpeeds.of("a") - speeds.of("a")) < 0.01);
-        for (const char* strange : { "", "5", "{}", "{\"queues\":5,\"speeds\":{}}", "{\"queues\":{\"q\":[]},\"speeds\":{}}" })
-            restoreLearned(strange, laterTimes, laterSpeeds);
-        CPPUNIT_ASSERT(std::abs(laterSpeeds.of("a") - speeds.of("a")) < 0.01);
+        RunTimes restoredTimes;
+        WorkerSpeeds restoredSpeeds;
+        restoreEstimates(encodeEstimates(times, speeds), restoredTimes, restoredSpeeds);
+        CPPUNIT_ASSERT(std::abs(restoredTimes.forecast("q", 1000).work - times.forecast("q", 1000).work) < 10);
+        CPPUNIT_ASSERT(std::abs(restoredSpeeds.of("a") - speeds.of("a")) < 0.01);
+        for (const char* malformed : { "", "5", "{}", "{\"queues\":5,\"speeds\":{}}", "{\"queues\":{\"q\":[]},\"speeds\":{}}" })
+            restoreEstimates(malformed, restoredTimes, restoredSpeeds);
+        CPPUNIT_ASSERT(std::abs(restoredSpeeds.of("a") - speeds.of("a")) < 0.01);
     }
 
-    void urgentBeforePatientAndLateLast()
+    void queueOrderIsByGuaranteePriorityAndLatestStart()
     {
         constexpr Millis now = 100000;
-        const auto keyOf = [&](bool guaranteed, std::int64_t priority, Millis waitedSince) {
-            return queueKeyOf({ .guaranteed = guaranteed, .priority = priority, .waitedSince = waitedSince, .expected = 2000, .chain = 2000, .stretch = 3, .target = 1000 }, now);
+        const auto keyOf = [&](bool guaranteed, std::int64_t priority, Millis waitingSince) {
+            return queueKeyOf({ .guaranteed = guaranteed, .priority = priority, .waitingSince = waitingSince, .remainingRunTime = 2000, .criticalPath = 2000, .stretch = 3, .latencyTarget = 1000 }, now);
         };
         CPPUNIT_ASSERT(keyOf(true, 0, now) < keyOf(false, 0, now - 3000));
         CPPUNIT_ASSERT(keyOf(false, 0, now) < keyOf(false, 1, now - 3000));
         CPPUNIT_ASSERT(keyOf(false, 1, now - 3000) < keyOf(false, 1, now));
         // Three times its objective is over: whatever it does is worth nothing.
         CPPUNIT_ASSERT(keyOf(false, 2, now) < keyOf(false, 1, now - 20000));
-        CPPUNIT_ASSERT(keyOf(false, 1, now - 20000).useless);
+        CPPUNIT_ASSERT(keyOf(false, 1, now - 20000).isTooLate);
     }
 
-    void trustEndsAfterTwoFailuresInARow()
+    void twoConsecutiveFailuresQuarantineAWorker()
     {
-        WorkerTrust trust;
-        trust.failed(1000);
-        trust.done();
-        trust.failed(2000);
-        CPPUNIT_ASSERT(trust.takesWork(2000, false));
-        trust.failed(3000);
-        CPPUNIT_ASSERT(!trust.takesWork(3000, true));
-        CPPUNIT_ASSERT(trust.takesWork(7000, true)); // One trial.
-        CPPUNIT_ASSERT(!trust.takesWork(7000, false));
-        trust.failed(7500);
-        CPPUNIT_ASSERT(!trust.takesWork(14000, true)); // Twice as long.
-        trust.done();
-        CPPUNIT_ASSERT(trust.takesWork(14000, false));
+        WorkerHealth health;
+        health.runFailed(1000);
+        health.runSucceeded();
+        health.runFailed(2000);
+        CPPUNIT_ASSERT(health.canTakeRun(2000, false));
+        health.runFailed(3000);
+        CPPUNIT_ASSERT(!health.canTakeRun(3000, true));
+        CPPUNIT_ASSERT(health.canTakeRun(7000, true)); // One trial.
+        CPPUNIT_ASSERT(!health.canTakeRun(7000, false));
+        health.runFailed(7500);
+        CPPUNIT_ASSERT(!health.canTakeRun(14000, true)); // Twice as long.
+        health.runSucceeded();
+        CPPUNIT_ASSERT(health.canTakeRun(14000, false));
     }
 
-    void recordsAreReadBack()
+    void decodedRecordsEqualTheEncodedOnes()
     {
         Job job;
         job.id = "a";
         job.workspace = "w";
-        job.terms = { .queue = "q", .service = "s", .priority = 2, .mostAttempts = 4, .stretch = 1.5, .latencyTarget = 250, .advice = { 20, 3, 4000 } };
+        job.terms = { .queue = "q", .service = "s", .priority = 2, .maxAttempts = 4, .stretch = 1.5, .latencyTarget = 250, .advice = { 20, 3, 4000 } };
         job.text = "line\n\"quoted\" \xc3\xa9";
         Step step;
         step.count = 5;
-        step.each = { 1, 2, 3 };
+        step.perTask = { 1, 2, 3 };
         step.dependsOn = { 0 };
         step.gang = step.sameRack = step.savesProgress = true;
         step.dataRack = "r1";
@@ -141,21 +141,21 @@
         job.repeats = 3;
         job.startAt = 7;
         job.interval = 9;
-        const auto read = attempt([&] { return decodeJob("a", encodeJob(job)); });
-        CPPUNIT_ASSERT(read.value);
-        CPPUNIT_ASSERT(read.value->steps == job.steps);
-        CPPUNIT_ASSERT(read.value->terms == job.terms);
-        CPPUNIT_ASSERT_EQUAL(job.text, read.value->text);
-        CPPUNIT_ASSERT_EQUAL(Millis { 16 }, read.value->dueAt(1));
+        const auto decodedJob = attempt([&] { return decodeJob("a", encodeJob(job)); });
+        CPPUNIT_ASSERT(decodedJob.value);
+        CPPUNIT_ASSERT(decodedJob.value->steps == job.steps);
+        CPPUNIT_ASSERT(decodedJob.value->terms == job.terms);
+        CPPUNIT_ASSERT_EQUAL(job.text, decodedJob.value->text);
+        CPPUNIT_ASSERT_EQUAL(Millis { 16 }, decodedJob.value->dueAt(1));
         Progress progress;
         progress.state = JobState::Running;
         progress.started = true;
         progress.occurrencesDone = 1;
         progress.units = { { .occurrence = 1, .step = 0, .index = wholeGang, .run = 3, .failedRuns = { 1, 2 }, .state = UnitState::Running, .checkpoint = "c", .workers = { { "w", 5 } } },
             { .occurrence = 1, .step = 1, .index = 4, .state = UnitState::Done } };
-        const auto again = attempt([&] { return decodeProgress(encodeProgress(progress)); });
-        CPPUNIT_ASSERT(again.value);
-        CPPUNIT_ASSERT(*again.value == progress);
+        const auto decodedProgress = attempt([&] { return decodeProgress(encodeProgress(progress)); });
+        CPPUNIT_ASSERT(decodedProgress.value);
+        CPPUNIT_ASSERT(*decodedProgress.value == progress);
     }
 
     void damagedRecordsAreCounted()
@@ -179,7 +179,7 @@
 
     // After a reload, records come again that were read before, and older ones after
     // newer ones. A job that was over must not run again because of that.
-    void olderRecordsChangeNothing()
+    void olderRecordsAreIgnored()
     {
         JobTable table;
         Job job;
@@ -187,10 +187,10 @@
         table.apply("job/a", encodeJob(job), 1, 1);
         table.apply("state/a", encodeState(JobState::Completed), 5, 1);
         table.apply("state/a", encodeState(JobState::Running), 3, 1);
-        CPPUNIT_ASSERT(table.find("a")->shown() == JobState::Completed);
+        CPPUNIT_ASSERT(table.find("a")->visibleState() == JobState::Completed);
         table.apply("job/a", encodeJob(job), 9, 1); // A repeat of the submit.
         table.apply("cancel/a", encodeCancel(), 10, 1);
-        CPPUNIT_ASSERT(table.find("a")->shown() == JobState::Completed);
+        CPPUNIT_ASSERT(table.find("a")->visibleState() == JobState::Completed);
         PlanTable plans;
         plans.apply("progress/a", encodeProgress({ .state = JobState::Completed }), 5);
         plans.apply("progress/a", encodeProgress({ .state = JobState::Running }), 3);
--- a/src/tasks/testing/lost_work_judge.cc
+++ b/src/tasks/testing/lost_work_judge.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-    std::int64_t fitting(const Room& free, const Room& each, std::int64_t most)
+    std::int64_t fitting(const Resources& free, const Resources& each, std::int64_t most)
     {
         std::int64_t count = 0;
-        Room used = each;
-        while (count < most && used.within(free)) {
+        Resources used = each;
+        while (count < most && used.fitsIn(free)) {
             ++count;
             used += each;
         }
@@ -84,8 +84,8 @@
             continue;
         if (!step.dataRack.empty() && place.rack != step.dataRack)
             continue;
-        const std::int64_t most = step.mostPerWorker > 0 ? std::min(step.mostPerWorker, members * enough) : members * enough;
-        byRack[step.sameRack ? place.rack : ""] += fitting(place.free, step.each, most);
+        const std::int64_t most = step.maxPerWorker > 0 ? std::min(step.maxPerWorker, members * enough) : members * enough;
+        byRack[step.sameRack ? place.rack : ""] += fitting(place.free, step.perTask, most);
     }
     std::int64_t fits = 0;
     for (const auto& [rack, count] : byRack)
--- a/src/tasks/testing/lost_work_judge.h
+++ b/src/tasks/testing/lost_work_judge.h
@@ -14,7 +14,7 @@
 // what runs there.
 
 #include "tasks/job.h"
-#include "tasks/placing.h"
+#include "tasks/placement.h"
 #include "tasks/progress.h"
 
 #include <functional>
@@ -32,7 +32,7 @@
         std::string service;
         std::string rack;
         std::vector<std::string> labels;
-        Room free;
+        Resources free;
     };
 
     struct View {
--- a/src/tasks/testing/takeover_test.cc
+++ b/src/tasks/testing/takeover_test.cc
@@ -148,16 +148,16 @@
     }
 
 private:
-    static constexpr Room whole { 10000, 10000, 8 };
+    static constexpr Resources whole { 10000, 10000, 8 };
 
-    static Job patient(const std::string& id, Room each, Millis time)
+    static Job patient(const std::string& id, Resources each, Millis time)
     {
         Job result;
         result.id = id;
         result.workspace = "a";
-        result.terms = { .queue = "q", .service = "s", .priority = 2, .mostAttempts = 4, .stretch = 1, .latencyTarget = 1000 };
+        result.terms = { .queue = "q", .service = "s", .priority = 2, .maxAttempts = 4, .stretch = 1, .latencyTarget = 1000 };
         result.text = "work";
-        result.steps.push_back({ .count = 1, .each = each, .estimate = time });
+        result.steps.push_back({ .count = 1, .perTask = each, .estimate = time });
         return result;
     }
 
--- a/src/tasks/testing/task_planner_polls_test.cc
+++ b/src/tasks/testing/task_planner_polls_test.cc
@@ -10,20 +10,20 @@
 
 namespace {
 
-Job job(const std::string& id, std::int64_t count, Room each, Millis time, std::int64_t priority = 1)
+Job job(const std::string& id, std::int64_t count, Resources each, Millis time, std::int64_t priority = 1)
 {
     Job result;
     result.id = id;
     result.workspace = "a";
-    result.terms = { .queue = "q", .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    result.terms = { .queue = "q", .service = "s", .priority = priority, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     result.text = "work";
-    result.steps.push_back({ .count = count, .each = each, .estimate = time });
+    result.steps.push_back({ .count = count, .perTask = each, .estimate = time });
     return result;
 }
 
-constexpr Room whole { 10000, 10000, 8 };
-constexpr Room half { 10000, 10000, 4 };
-constexpr Room one { 10000, 50000, 1 };
+constexpr Resources whole { 10000, 10000, 8 };
+constexpr Resources half { 10000, 10000, 4 };
+constexpr Resources one { 10000, 50000, 1 };
 
 void assertSound(const VirtualSite& site)
 {
@@ -52,7 +52,7 @@
             site.submit(job("short" + std::to_string(i), 300, one, 1000));
         site.runUntilOver(90000);
         CPPUNIT_ASSERT(site.allOver());
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.countEnds(RunEnd::Lapsed));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.countEnds(RunEnd::LeaseExpired));
         assertSound(site);
     }
 
@@ -97,7 +97,7 @@
         this->submit("ended");
         this->submit("running");
         TaskPlanner planner({}, this->table, PlanTable(), this->now, this->now);
-        WorkerSighting worker;
+        WorkerDescription worker;
         worker.incarnation = { "w", 1 };
         worker.address = "10.0.0.1:1";
         worker.service = "s";
@@ -131,7 +131,7 @@
             const Orders orders = this->turn(planner);
             startedAnew = shown && !orders.starts.empty();
             for (const StartOrder& start : orders.starts)
-                planner.startAnswered(worker.incarnation, start.run, StartAnswer::Old, this->now);
+                planner.startAnswered(worker.incarnation, start.run, StartAnswer::Superseded, this->now);
             for (const PollOrder& poll : orders.polls) {
                 CPPUNIT_ASSERT(poll.beside || shown);
                 planner.pollAnswered(worker.incarnation, this->now, poll.beside, { .born = 2 }, this->now);
@@ -147,7 +147,7 @@
     {
         this->submit("ended");
         TaskPlanner planner({}, this->table, PlanTable(), this->now, this->now);
-        WorkerSighting worker;
+        WorkerDescription worker;
         worker.incarnation = { "w", 1 };
         worker.address = "10.0.0.1:1";
         worker.service = "s";
--- a/src/tasks/testing/task_planner_random_test.cc
+++ b/src/tasks/testing/task_planner_random_test.cc
@@ -77,20 +77,20 @@
         job.id = fmt::format("{:016x}", ++this->jobs);
         job.workspace = std::string(this->below(2) == 0 ? "a" : "b"); // GCC 12 warns wrongly where a literal of one letter is assigned.
         const std::int64_t priority = this->below(3);
-        job.terms = { .queue = fmt::format("q{}", priority), .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+        job.terms = { .queue = fmt::format("q{}", priority), .service = "s", .priority = priority, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
         if (this->hasPolicies && this->below(3) == 0)
             job.terms.advice = { 20, 3, 2000 + this->below(8000) };
         const std::int64_t steps = 1 + this->below(2);
         for (std::int64_t i = 0; i < steps; ++i) {
             Step step;
             step.count = 1 + this->below(5);
-            step.each = { 1000 * (1 + this->below(40)), 1000 * (1 + this->below(200)), 1 + this->below(8) };
+            step.perTask = { 1000 * (1 + this->below(40)), 1000 * (1 + this->below(200)), 1 + this->below(8) };
             step.estimate = 300 + this->below(4000);
             step.gang = this->below(2) == 0;
             step.sameRack = this->below(3) == 0;
             step.savesProgress = this->below(3) == 0;
             if (this->below(8) == 0)
-                step.mostPerWorker = 1;
+                step.maxPerWorker = 1;
             if (i > 0)
                 step.dependsOn.push_back(i - 1);
             job.steps.push_back(step);
@@ -105,7 +105,7 @@
     void disturb()
     {
         if (this->hasCrashes) {
-            this->site.resize(this->worker(), this->below(2) == 0 ? Room { 128000, 512000, 8 } : Room { 64000, 256000, 5 });
+            this->site.resize(this->worker(), this->below(2) == 0 ? Resources { 128000, 512000, 8 } : Resources { 64000, 256000, 5 });
             if (this->below(8) == 0)
                 this->site.crash(this->worker());
         }
--- a/src/tasks/testing/task_planner_reports_test.cc
+++ b/src/tasks/testing/task_planner_reports_test.cc
@@ -10,16 +10,16 @@
 
 namespace {
 
-constexpr Room whole { 10000, 10000, 8 };
+constexpr Resources whole { 10000, 10000, 8 };
 
 Job patientJob(const std::string& id, std::int64_t count, Millis time)
 {
     Job result;
     result.id = id;
     result.workspace = "a";
-    result.terms = { .queue = "q", .service = "s", .priority = 2, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    result.terms = { .queue = "q", .service = "s", .priority = 2, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     result.text = "work";
-    result.steps.push_back({ .count = count, .each = whole, .estimate = time });
+    result.steps.push_back({ .count = count, .perTask = whole, .estimate = time });
     return result;
 }
 
--- a/src/tasks/testing/task_planner_test.cc
+++ b/src/tasks/testing/task_planner_test.cc
@@ -12,27 +12,27 @@
 
 namespace {
 
-Job job(const std::string& id, std::int64_t count, Room each, Millis time, std::int64_t priority = 1)
+Job job(const std::string& id, std::int64_t count, Resources each, Millis time, std::int64_t priority = 1)
 {
     Job result;
     result.id = id;
     result.workspace = "a";
-    result.terms = { .queue = "q", .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    result.terms = { .queue = "q", .service = "s", .priority = priority, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     result.text = "work";
-    result.steps.push_back({ .count = count, .each = each, .estimate = time });
+    result.steps.push_back({ .count = count, .perTask = each, .estimate = time });
     return result;
 }
 
-Job gang(const std::string& id, std::int64_t count, Room each, Millis time, std::int64_t priority = 1)
+Job gang(const std::string& id, std::int64_t count, Resources each, Millis time, std::int64_t priority = 1)
 {
     Job result = job(id, count, each, time, priority);
     result.steps.front().gang = true;
     return result;
 }
 
-constexpr Room whole { 10000, 10000, 8 };
-constexpr Room half { 10000, 10000, 4 };
-constexpr Room one { 10000, 50000, 1 };
+constexpr Resources whole { 10000, 10000, 8 };
+constexpr Resources half { 10000, 10000, 4 };
+constexpr Resources one { 10000, 50000, 1 };
 
 void assertSound(const VirtualSite& site)
 {
@@ -94,8 +94,8 @@
         VirtualSite site({ .seed = 2, .failures = 0 });
         site.newPlanner();
         Job chain = job("j1", 3, one, 1000);
-        chain.steps.push_back({ .count = 2, .each = one, .estimate = 500, .dependsOn = { 0 } });
-        chain.steps.push_back({ .count = 1, .each = one, .estimate = 500, .dependsOn = { 0, 1 } });
+        chain.steps.push_back({ .count = 2, .perTask = one, .estimate = 500, .dependsOn = { 0 } });
+        chain.steps.push_back({ .count = 1, .perTask = one, .estimate = 500, .dependsOn = { 0, 1 } });
         site.submit(chain);
         CPPUNIT_ASSERT(site.runUntilOver(20000));
         CPPUNIT_ASSERT(site.stateOf("j1") == JobState::Completed);
@@ -109,7 +109,7 @@
         site.submit(gang("g1", 8, whole, 2000));
         CPPUNIT_ASSERT(site.runUntilOver(10000));
         CPPUNIT_ASSERT(site.stateOf("g1") == JobState::Completed);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.countEnds(RunEnd::Alone));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.countEnds(RunEnd::GangIncomplete));
         assertSound(site);
     }
 
@@ -181,7 +181,7 @@
         site.newPlanner();
         site.submit(job("patient", 200, one, 20000));
         site.run(2000);
-        while (site.planner->lastRound().kind != RoundKind::Whole)
+        while (site.planner->lastRound().kind != RoundKind::Full)
             site.run(site.now + 5);
         site.planner->stepTook(roundTook, site.now);
         site.submit(gang("urgent", 2, half, 500, 0));
@@ -580,7 +580,7 @@
         site.newPlanner();
         Job lasting = job("j1", 2, one, 1000);
         lasting.steps.front().longRunning = true;
-        lasting.terms.mostAttempts = 1000; // Tasks that last have no such limit, and the site checks it.
+        lasting.terms.maxAttempts = 1000; // Tasks that last have no such limit, and the site checks it.
         site.submit(lasting);
         site.run(15000);
         CPPUNIT_ASSERT(site.stateOf("j1") == JobState::Running);
--- a/src/tasks/testing/virtual_site.cc
+++ b/src/tasks/testing/virtual_site.cc
@@ -30,7 +30,7 @@
 {
     job.acceptedAt = this->now;
     this->jobs[job.id] = job;
-    this->write(keyText({ RecordKind::Job, job.id }), encodeJob(job));
+    this->write(formatKey({ RecordKind::Job, job.id }), encodeJob(job));
     if (this->planner)
         this->planner->jobAccepted(this->table.find(job.id)->job, this->now, this->now);
 }
@@ -38,7 +38,7 @@
 void VirtualSite::cancel(const std::string& id)
 {
     this->cancelled.insert(id);
-    this->write(keyText({ RecordKind::Cancel, id }), encodeCancel());
+    this->write(formatKey({ RecordKind::Cancel, id }), encodeCancel());
     if (this->planner)
         this->planner->jobCancelled(id, this->now);
 }
@@ -74,7 +74,7 @@
 JobState VirtualSite::stateOf(const std::string& id) const
 {
     const JobEntry* entry = this->table.find(id);
-    return entry ? entry->shown() : JobState::Queued;
+    return entry ? entry->visibleState() : JobState::Queued;
 }
 
 std::int64_t VirtualSite::runsOf(const std::string& id) const
@@ -109,7 +109,7 @@
 void VirtualSite::advise(const AdviceOrder& order)
 {
     this->adviceAsked += static_cast<std::int64_t>(order.workers.size());
-    const Millis takes = order.terms.each + order.terms.perWorker * static_cast<Millis>(order.workers.size());
+    const Millis takes = order.terms.perRequest + order.terms.perWorker * static_cast<Millis>(order.workers.size());
     const bool isLost = this->chance() < this->options.lostAdvice;
     this->at(this->now + takes, [this, order, isLost, mine = this->generation] {
         if (mine != this->generation || !this->planner)
@@ -151,7 +151,7 @@
 {
     this->nextTurn = this->now + this->turnGap;
     this->planner->step(this->now, this->now);
-    if (this->planner->lastRound().kind == RoundKind::Whole)
+    if (this->planner->lastRound().kind == RoundKind::Full)
         this->planner->stepTook(this->roundTime, this->now + this->roundTime);
     Orders orders = this->planner->take(this->now);
     this->planEvents.insert(this->planEvents.end(), orders.events.begin(), orders.events.end());
@@ -291,7 +291,7 @@
         [this, order, again](const std::optional<StartAnswer>& answer) {
             const StartAnswer without = this->workers.at(order.worker.id).replaced ? StartAnswer::OtherIncarnation : StartAnswer::NoAnswer;
             const StartAnswer heard = answer.value_or(without);
-            this->planner->startAnswered(order.worker, order.run, again > 0 ? answerToRepeat(heard) : heard, this->now);
+            this->planner->startAnswered(order.worker, order.run, again > 0 ? answerToRepeatedStart(heard) : heard, this->now);
         });
 }
 
--- a/src/tasks/testing/virtual_site.h
+++ b/src/tasks/testing/virtual_site.h
@@ -117,7 +117,7 @@
     std::int64_t crashesUnder(const std::string& job) const;
 
     // The capacity of a worker changes; its entry in the list shows it half a second later.
-    void resize(const std::string& id, Room capacity);
+    void resize(const std::string& id, Resources capacity);
 
     // The planner has its turn this rarely, as on a machine with too little processor time.
     void planEvery(Millis gap) { this->turnGap = gap; }
@@ -170,12 +170,12 @@
         Millis waitingSince { 0 };
         Millis stopAt { 0 };
         bool fails { false };
-        Room room;
+        Resources room;
     };
 
     struct Worker {
         Millis born { 1 };
-        Room capacity { 128000, 512000, 8 };
+        Resources capacity { 128000, 512000, 8 };
         std::string rack;
         std::int64_t token { 0 };
         std::map<RunRef, Run> running;
@@ -193,14 +193,14 @@
         bool crashed { false };
         bool replaced { false }; // Another worker is there at its address.
         bool listed { true };
-        std::vector<std::pair<Millis, Room>> formerCapacities; // And when each was replaced.
+        std::vector<std::pair<Millis, Resources>> formerCapacities; // And when each was replaced.
     };
 
     void addWorker(const std::string& id);
     void addWorker(const std::string& id, const std::string& rack);
     void loseRuns(Worker&, const std::string& id);
 
-    std::vector<WorkerSighting> sightings() const;
+    std::vector<WorkerDescription> sightings() const;
 
     void relist();
 
--- a/src/tasks/testing/virtual_site_calm.cc
+++ b/src/tasks/testing/virtual_site_calm.cc
@@ -37,7 +37,7 @@
     for (const auto& [id, worker] : this->workers) {
         if (!worker.listed || worker.crashed)
             continue;
-        Room free = worker.capacity;
+        Resources free = worker.capacity;
         for (const auto& [ref, run] : worker.running) {
             free -= run.room;
             view.running.insert(ref.task);
@@ -51,7 +51,7 @@
     for (const auto& [id, job] : this->jobs) {
         // Where advice or the calendar decides as well, it cannot be told from here.
         const bool isToBeDone = !this->cancelled.contains(id) && !isFinal(this->stateOf(id)) && !this->hasFailedForGood(id);
-        if (isToBeDone && job.repeats == 0 && job.terms.advice.valid == 0)
+        if (isToBeDone && job.repeats == 0 && job.terms.advice.ticketValidity == 0)
             view.jobs.push_back(&job);
     }
     view.isDone = [this](const TaskRef& task) { return this->done.contains(task); };
@@ -65,7 +65,7 @@
 
 bool VirtualSite::hasFailedForGood(const std::string& id) const
 {
-    const std::int64_t most = this->jobs.at(id).terms.mostAttempts;
+    const std::int64_t most = this->jobs.at(id).terms.maxAttempts;
     for (auto next = this->failedRuns.lower_bound({ id, 0, 0, wholeGang }); next != this->failedRuns.end() && next->first.job == id; ++next) {
         if (static_cast<std::int64_t>(next->second.size()) >= most)
             return true;
--- a/src/tasks/testing/virtual_site_workers.cc
+++ b/src/tasks/testing/virtual_site_workers.cc
@@ -100,7 +100,7 @@
     return found == this->crashes.end() ? 0 : found->second;
 }
 
-void VirtualSite::resize(const std::string& id, Room capacity)
+void VirtualSite::resize(const std::string& id, Resources capacity)
 {
     this->disturb();
     Worker& worker = this->workers.at(id);
@@ -123,13 +123,13 @@
     this->workers.emplace(id, worker);
 }
 
-std::vector<WorkerSighting> VirtualSite::sightings() const
+std::vector<WorkerDescription> VirtualSite::sightings() const
 {
-    std::vector<WorkerSighting> seen;
+    std::vector<WorkerDescription> seen;
     for (const auto& [id, worker] : this->workers) {
         if (!worker.listed)
             continue;
-        WorkerSighting sighting;
+        WorkerDescription sighting;
         sighting.incarnation = { id, worker.born };
         sighting.address = id;
         sighting.service = std::string("s"); // GCC 12 warns wrongly where a literal of one letter is assigned.
@@ -157,16 +157,16 @@
         return StartAnswer::Deposed;
     worker.token = term;
     if (until <= this->now)
-        return StartAnswer::Late;
+        return StartAnswer::LeaseExpired;
     worker.leaseUntil = std::max(worker.leaseUntil, until);
     if (worker.running.contains(order.run))
         return StartAnswer::Started;
     if (worker.ceilings[order.run.task] >= order.run.run)
-        return StartAnswer::Old;
+        return StartAnswer::Superseded;
     const TaskRef& task = order.run.task;
-    if (this->jobs.at(task.job).terms.advice.valid > 0 && order.ticket != this->ticketOf({ task.job, task.occurrence, task.step }, order.worker.id)) {
+    if (this->jobs.at(task.job).terms.advice.ticketValidity > 0 && order.ticket != this->ticketOf({ task.job, task.occurrence, task.step }, order.worker.id)) {
         ++this->refusedTickets;
-        return StartAnswer::NoTicket;
+        return StartAnswer::InvalidTicket;
     }
     this->judgeStart(order, worker);
     const Step& step = this->stepOf(order.run.task);
@@ -181,7 +181,7 @@
     run.checkpoint = order.checkpoint;
     run.members = step.gang ? step.count : 1;
     run.waitingSince = this->now;
-    run.room = step.each;
+    run.room = step.perTask;
     run.fails = worker.failsAll || this->chance() < this->options.failures;
     worker.running.emplace(order.run, run);
     const auto crashes = this->crashing.find(task.job);
@@ -216,7 +216,7 @@
                 this->breach("before what it depends on", order);
         }
     }
-    if (static_cast<std::int64_t>(this->failedNoted[task].size()) >= job.terms.mostAttempts)
+    if (static_cast<std::int64_t>(this->failedNoted[task].size()) >= job.terms.maxAttempts)
         this->breach("after its last attempt", order);
     constexpr std::int64_t toBeGivenUp = 3;
     if (const auto crashed = this->crashes.find(task); crashed != this->crashes.end() && crashed->second >= toBeGivenUp && ++this->startsAfterCrashes[task] >= toBeGivenUp)
@@ -227,12 +227,12 @@
 void VirtualSite::judgeRoom(const StartOrder& order, const Worker& worker)
 {
     constexpr Millis knownAfter = 4500;
-    Room used = this->stepOf(order.run.task).each;
+    Resources used = this->stepOf(order.run.task).perTask;
     for (const auto& [ref, run] : worker.running)
         used += run.room;
-    bool isAllowed = used.within(worker.capacity);
+    bool isAllowed = used.fitsIn(worker.capacity);
     for (const auto& [replacedAt, capacity] : worker.formerCapacities)
-        isAllowed = isAllowed || (this->now < replacedAt + knownAfter && used.within(capacity));
+        isAllowed = isAllowed || (this->now < replacedAt + knownAfter && used.fitsIn(capacity));
     if (!isAllowed)
         this->breach("over room", order);
 }
@@ -245,7 +245,7 @@
             return;
     }
     for (const auto& [unit, runs] : this->failedRuns) {
-        if (unit.job == id && static_cast<std::int64_t>(runs.size()) >= this->jobs.at(id).terms.mostAttempts)
+        if (unit.job == id && static_cast<std::int64_t>(runs.size()) >= this->jobs.at(id).terms.maxAttempts)
             return;
     }
     this->broken.push_back(fmt::format("{} ms: failed without cause: {}", this->now, id));
@@ -318,7 +318,7 @@
     }
     for (auto& [ref, run] : worker.running) {
         if (worker.leaseUntil <= this->now) {
-            over.emplace_back(ref, RunEnd::Lapsed);
+            over.emplace_back(ref, RunEnd::LeaseExpired);
             continue;
         }
         if (run.stopAt > 0 && this->now >= run.stopAt) {
@@ -328,9 +328,9 @@
         }
         if (run.members > 1 && this->present(ref) < run.members) {
             if (this->gone.contains({ ref.task.job, ref.task.occurrence, ref.task.step, ref.run }))
-                over.emplace_back(ref, this->gone.at({ ref.task.job, ref.task.occurrence, ref.task.step, ref.run }) ? RunEnd::Done : RunEnd::Broken);
+                over.emplace_back(ref, this->gone.at({ ref.task.job, ref.task.occurrence, ref.task.step, ref.run }) ? RunEnd::Done : RunEnd::GangMemberEnded);
             else if (this->now - run.waitingSince >= this->options.gangTimeout)
-                over.emplace_back(ref, RunEnd::Alone);
+                over.emplace_back(ref, RunEnd::GangIncomplete);
             continue;
         }
         if (worker.stalls)
--- a/src/tasks/worker.cc
+++ b/src/tasks/worker.cc
@@ -16,11 +16,11 @@
     return names.at(static_cast<std::size_t>(fault));
 }
 
-bool settlesEarlierTries(StartAnswer answer) { return answer == StartAnswer::Started || answer == StartAnswer::OtherIncarnation || answer == StartAnswer::Old; }
+bool settlesEarlierAttempts(StartAnswer answer) { return answer == StartAnswer::Started || answer == StartAnswer::OtherIncarnation || answer == StartAnswer::Superseded; }
 
 // The first one may be carried out late, by a later incarnation too, which the planner guards
 // against where it knows of a try without an answer. It asks again, and hears this answer.
-StartAnswer answerToRepeat(StartAnswer answer)
+StartAnswer answerToRepeatedStart(StartAnswer answer)
 {
     return answer == StartAnswer::OtherIncarnation || answer == StartAnswer::Deposed ? answer : StartAnswer::NoAnswer;
 }
--- a/src/tasks/worker.h
+++ b/src/tasks/worker.h
@@ -12,14 +12,14 @@
 
 namespace rattan::tasks {
 
-struct WorkerSighting {
+struct WorkerDescription {
     Incarnation incarnation;
     std::string address; // IP:PORT
     std::string service;
     std::string domain; // Failure domain.
     std::string rack;
     std::vector<std::string> labels;
-    Room capacity;
+    Resources capacity;
     bool leaving { false };
     Millis remaining { 0 }; // While leaving: it stays at least this long.
 };
@@ -29,9 +29,9 @@
     Done,
     Failed, // By the task's own fault or the worker's.
     Stopped, // On order.
-    Lapsed, // Its lease was not renewed in time.
-    Broken, // Another member of its gang ended.
-    Alone, // The other members of its gang did not come in time.
+    LeaseExpired, // Its lease was not renewed in time.
+    GangMemberEnded, // Another member of its gang ended.
+    GangIncomplete, // The other members of its gang did not come in time.
 };
 
 std::string_view nameOf(RunEnd);
@@ -69,20 +69,20 @@
     NoAnswer, // May have been carried out, or may be later.
     NotSent,
     NoRoom,
-    Old, // A run at least as high was there.
-    Late, // Its lease was over on arrival.
-    Unwell, // The worker takes nothing at present.
+    Superseded, // A run at least as high was there.
+    LeaseExpired, // Its lease was over on arrival.
+    Unavailable, // The worker takes nothing at present.
     Refused, // It can never run there.
-    NoTicket, // The advice on it does not hold any more.
+    InvalidTicket, // The advice on it does not hold any more.
     OtherIncarnation,
     Deposed,
 };
 
 // Whether the answer to one try tells what became of all tries before it as well.
-bool settlesEarlierTries(StartAnswer);
+bool settlesEarlierAttempts(StartAnswer);
 
 // What is known once a start was sent twice and this is the answer to the second.
-StartAnswer answerToRepeat(StartAnswer);
+StartAnswer answerToRepeatedStart(StartAnswer);
 
 std::string_view nameOf(WorkerFault);
 std::string_view nameOf(StartAnswer);
--- a/src/tasks/worker_trust.h
+++ b/src/tasks/worker_health.h
@@ -10,30 +10,30 @@
 
 namespace rattan::tasks {
 
-class WorkerTrust {
+class WorkerHealth {
 public:
-    void done();
-    void failed(Millis now);
-    void stalled(Millis now); // Counts as enough failures by itself.
+    void runSucceeded();
+    void runFailed(Millis now);
+    void runStalled(Millis now); // Counts as enough failures by itself.
 
     // False: nothing may start there. While on trial, one run at a time: `free` tells that
     // none has begun since the distrust ended.
-    bool takesWork(Millis now, bool free) const;
-    bool onTrial() const { return this->strikes >= strikesToDistrust; }
+    bool canTakeRun(Millis now, bool noRun) const;
+    bool isProbing() const { return this->consecutiveFailures >= failuresToQuarantine; }
 
     // The end of the present distrust; 0 if trusted.
-    Millis distrustedUntil() const { return this->until; }
+    Millis quarantinedUntil() const { return this->quarantineEnd; }
 
 private:
-    static constexpr int strikesToDistrust = 2;
-    static constexpr Millis firstDistrust = 4000; // About two short runs.
-    static constexpr Millis longestDistrust = 60000;
+    static constexpr int failuresToQuarantine = 2;
+    static constexpr Millis minQuarantine = 4000; // About two short runs.
+    static constexpr Millis maxQuarantine = 60000;
 
-    void distrust(Millis now);
+    void quarantine(Millis now);
 
-    int strikes { 0 };
-    Millis until { 0 };
-    Millis lastSpan { 0 };
+    int consecutiveFailures { 0 };
+    Millis quarantineEnd { 0 };
+    Millis quarantineDuration { 0 };
 };
 
 } // namespace rattan::tasks
--- a/src/tasks/worker_speeds.cc
+++ b/src/tasks/worker_speeds.cc
@@ -15,16 +15,16 @@
 
     constexpr double priorVariance = 0.04; // Speeds lie within about a fifth of the usual one.
     constexpr double siblingVariance = 0.04; // Tasks of one step differ by about a fifth.
-    constexpr double mostWeight = 15; // So that a worker whose speed changes is believed again after a dozen runs.
-    constexpr double farthest = 0.7; // A factor of two: what is farther off says nothing of a worker's usual speed.
-    constexpr std::size_t leastSiblings = 3;
+    constexpr double maxWeight = 15; // So that a worker whose speed changes is believed again after a dozen runs.
+    constexpr double maxLogDeviation = 0.7; // A factor of two: what is farther off says nothing of a worker's usual speed.
+    constexpr std::size_t minSiblings = 3;
 
 } // namespace
 
 double WorkerSpeeds::of(const std::string& worker) const
 {
     const auto found = this->estimates.find(worker);
-    return found == this->estimates.end() ? 1.0 : std::exp(found->second.log);
+    return found == this->estimates.end() ? 1.0 : std::exp(found->second.logSpeed);
 }
 
 double WorkerSpeeds::slowestOf(const std::vector<std::string>& workers) const
@@ -35,51 +35,51 @@
     return workers.empty() ? 1.0 : slowest;
 }
 
-void WorkerSpeeds::update(const std::string& worker, double log, double variance)
+void WorkerSpeeds::update(const std::string& worker, double logSpeed, double variance)
 {
     Estimate& estimate = this->estimates[worker];
     const double weight = priorVariance / std::max(variance, priorVariance / 4);
-    estimate.log += (std::clamp(log, -farthest, farthest) - estimate.log) * weight / (estimate.weight + weight);
-    estimate.weight = std::min(estimate.weight + weight, mostWeight);
+    estimate.logSpeed += (std::clamp(logSpeed, -maxLogDeviation, maxLogDeviation) - estimate.logSpeed) * weight / (estimate.weight + weight);
+    estimate.weight = std::min(estimate.weight + weight, maxWeight);
 }
 
 void WorkerSpeeds::center()
 {
     double sum = 0;
     for (const auto& [worker, estimate] : this->estimates)
-        sum += estimate.log;
+        sum += estimate.logSpeed;
     const double mean = sum / static_cast<double>(this->estimates.size());
     for (auto& [worker, estimate] : this->estimates)
-        estimate.log -= mean;
+        estimate.logSpeed -= mean;
 }
 
-void WorkerSpeeds::learnSiblings(const std::vector<Sample>& samples)
+void WorkerSpeeds::addSiblingRuns(const std::vector<Sample>& samples)
 {
-    if (samples.size() < leastSiblings)
+    if (samples.size() < minSiblings)
         return;
-    double work = 0;
+    double meanLogWork = 0;
     for (const Sample& sample : samples)
-        work += std::log(static_cast<double>(std::max<Millis>(sample.took, 1)) * this->of(sample.worker));
-    work /= static_cast<double>(samples.size());
+        meanLogWork += std::log(static_cast<double>(std::max<Millis>(sample.duration, 1)) * this->of(sample.worker));
+    meanLogWork /= static_cast<double>(samples.size());
     for (const Sample& sample : samples)
-        this->update(sample.worker, work - std::log(static_cast<double>(std::max<Millis>(sample.took, 1))), siblingVariance);
+        this->update(sample.worker, meanLogWork - std::log(static_cast<double>(std::max<Millis>(sample.duration, 1))), siblingVariance);
     this->center();
 }
 
-void WorkerSpeeds::learnGang(const std::vector<std::string>& workers, const RunTimes::Forecast& forecast, Millis took)
+void WorkerSpeeds::addGangRun(const std::vector<std::string>& workers, const RunTimes::Forecast& forecast, Millis duration)
 {
     if (workers.empty())
         return;
-    const double log = std::log(static_cast<double>(forecast.work)) - std::log(static_cast<double>(std::max<Millis>(took, 1)));
+    const double logSpeed = std::log(static_cast<double>(forecast.work)) - std::log(static_cast<double>(std::max<Millis>(duration, 1)));
     const std::string* slowest = &workers.front();
     for (const std::string& worker : workers) {
         if (this->of(worker) < this->of(*slowest))
             slowest = &worker;
     }
-    const std::string moved = *slowest;
+    const std::string slowestId = *slowest;
     for (const std::string& worker : workers) {
-        if (worker == moved || std::log(this->of(worker)) < log)
-            this->update(worker, log, forecast.variance);
+        if (worker == slowestId || std::log(this->of(worker)) < logSpeed)
+            this->update(worker, logSpeed, forecast.variance);
     }
     this->center();
 }
--- a/src/tasks/worker_speeds.h
+++ b/src/tasks/worker_speeds.h
@@ -26,14 +26,14 @@
 public:
     struct Sample {
         std::string worker;
-        Millis took { 0 };
+        Millis duration { 0 };
     };
 
     // Tasks of one step that ran alone, from nothing to their end.
-    void learnSiblings(const std::vector<Sample>&);
+    void addSiblingRuns(const std::vector<Sample>&);
 
     // A gang that ran from nothing to its end; or one task by itself.
-    void learnGang(const std::vector<std::string>& workers, const RunTimes::Forecast&, Millis took);
+    void addGangRun(const std::vector<std::string>& workers, const RunTimes::Forecast&, Millis duration);
 
     double of(const std::string& worker) const;
 
@@ -41,7 +41,7 @@
     double slowestOf(const std::vector<std::string>& workers) const;
 
     struct Estimate {
-        double log { 0 };
+        double logSpeed { 0 };
         double weight { 1 }; // Of what is known, in samples as good as the prior.
     };
 
@@ -50,7 +50,7 @@
     void restore(const std::string& worker, const Estimate& estimate) { this->estimates[worker] = estimate; }
 
 private:
-    void update(const std::string& worker, double log, double variance);
+    void update(const std::string& worker, double logSpeed, double variance);
     void center();
 
     std::map<std::string, Estimate> estimates;
