--- a/src/tasks/election.cc
+++ b/src/tasks/election.cc
@@ -73,7 +73,7 @@
         return now >= this->newestReadAt + this->options.jitter / 2;
     if (this->suspectedAt > 0 && now >= this->suspectedAt + this->options.jitter)
         return true;
-    return now >= this->newestReadAt + this->options.takeover + this->options.jitter;
+    return now >= this->newestReadAt + this->options.takeoverDelay + this->options.jitter;
 }
 
 Election::Append Election::propose(Claim claim, Millis now)
@@ -83,7 +83,7 @@
     this->lastProposal = claim;
     this->pendingAppend = Append { std::move(claim), this->logEnd };
     this->proposalLastSentAt = now;
-    this->nextRenewal = now + this->options.renewEvery;
+    this->nextRenewal = now + this->options.renewInterval;
     return *this->pendingAppend;
 }
 
@@ -113,7 +113,7 @@
     if (outcome == AppendOutcome::EndMoved) {
         // The log has an unread claim, by another process or by this one with its answer
         // lost. Another attempt before it is read would fail again.
-        this->nextRenewal = now + this->options.renewEvery / 4;
+        this->nextRenewal = now + this->options.renewInterval / 4;
         return;
     }
     if (outcome != AppendOutcome::Appended) {
@@ -122,7 +122,7 @@
         const bool wasRead = this->isHolder && this->newest.term == append.claim.term && this->newest.renewal >= append.claim.renewal;
         if (!wasRead && append.claim.term == this->newest.term && now + this->options.term / 2 >= this->termEnd)
             this->failedRenewalTerm = append.claim.term;
-        this->nextRenewal = now + this->options.renewEvery / 2;
+        this->nextRenewal = now + this->options.renewInterval / 2;
         return;
     }
     if (append.offset + 1 < this->logEnd)
--- a/src/tasks/election.h
+++ b/src/tasks/election.h
@@ -14,7 +14,7 @@
 // appended only at the log end that its writer has read, so its writer knew the previous
 // claim. The holder's term lasts `term` from the time before it sent its last acknowledged
 // renewal, or, if it reads that renewal in the log, before the first attempt to send it.
-// Other instances wait for `takeover`, which is longer, from the later time at which they
+// Other instances wait for `takeoverDelay`, which is longer, from the later time at which they
 // read that renewal. The clock continues while a machine is suspended, so a holder that
 // was frozen finds that its term has ended.
 //
@@ -40,10 +40,10 @@
 struct ElectionOptions {
     std::string machine; // Identifies where this process runs; no two live processes share it.
     std::string holder; // Identifies this process; begins with `machine` and a slash.
-    Millis renewEvery { 300 }; // A renewal can take 400 ms with a slow store, so two attempts fit in a term.
+    Millis renewInterval { 300 }; // A renewal can take 400 ms with a slow store, so two attempts fit in a term.
     Millis term { 1000 }; // From sending a renewal. Orders are sent within the term only.
-    Millis takeover { 1250 }; // Exceeds a term by the error of clocks and the delay of messages; work resumes within 1.5 s.
-    Millis jitter { 0 }; // Added to `takeover`, so that instances don't all claim at once; larger on instances that should claim later.
+    Millis takeoverDelay { 1250 }; // Exceeds a term by the error of clocks and the delay of messages; work resumes within 1.5 s.
+    Millis jitter { 0 }; // Added to `takeoverDelay`, so that instances don't all claim at once; larger on instances that should claim later.
 };
 
 enum class AppendOutcome {
--- a/src/tasks/testing/election_test.cc
+++ b/src/tasks/testing/election_test.cc
@@ -12,7 +12,7 @@
 
 constexpr Millis begin = 1'000'000;
 
-Election makeElection(const char* holder) { return Election({ .holder = holder, .renewEvery = 500, .term = 2000, .takeover = 2400 }, begin); }
+Election makeElection(const char* holder) { return Election({ .holder = holder, .renewInterval = 500, .term = 2000, .takeoverDelay = 2400 }, begin); }
 
 class ElectionTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(ElectionTest);
@@ -41,7 +41,7 @@
     // jobs are late.
     void instanceWithJitterClaimsLaterAfterTheLogIsRegained()
     {
-        Election weak({ .holder = "weak", .renewEvery = 500, .term = 2000, .takeover = 2400, .jitter = 1000 }, begin);
+        Election weak({ .holder = "weak", .renewInterval = 500, .term = 2000, .takeoverDelay = 2400, .jitter = 1000 }, begin);
         weak.didReadClaim({ 4, "a", 9 }, 17, begin);
         weak.didReachEnd(18);
         weak.didRegainLog(begin + 9000);
