--- a/src/delivery/testing/delivery_thread_test.cc
+++ b/src/delivery/testing/delivery_thread_test.cc
@@ -91,7 +91,7 @@
     {
         this->planner.thread.send({ this->relay.thread.address(), term, 0, { { 1, pollOf("w1") } } });
         const auto received = this->relay.waitFor<OrdersReceived>();
-        tasks::WorkerReport report { .clock = 10, .born = 1, .running = { { { { "a", 0, 1, 2 }, 3 }, "c", 40 } }, .ended = { { 8, { { "b", 0, 0, 0 }, 1 }, tasks::RunEnd::Broken, "d" } } };
+        tasks::WorkerReport report { .clock = 10, .born = 1, .running = { { { { "a", 0, 1, 2 }, 3 }, "c", 40 } }, .ended = { { 8, { { "b", 0, 0, 0 }, 1 }, tasks::RunEnd::GangMemberEnded, "d" } } };
         for (const std::int64_t percent : { 40, 50, 50 }) {
             report.running[0].percent = percent;
             this->relay.thread.answer({ received.session, { { 1, "w1", { PollReply { .report = report }, 200 } } } });
@@ -100,7 +100,7 @@
             CPPUNIT_ASSERT(receivedReport && receivedReport->clock == 10 && receivedReport->born == 1);
             CPPUNIT_ASSERT(receivedReport->running.at(0).run == report.running[0].run && receivedReport->running[0].checkpoint == "c");
             CPPUNIT_ASSERT_EQUAL(percent, receivedReport->running[0].percent);
-            CPPUNIT_ASSERT(receivedReport->ended.at(0).number == 8 && receivedReport->ended[0].end == tasks::RunEnd::Broken && receivedReport->ended[0].checkpoint == "d");
+            CPPUNIT_ASSERT(receivedReport->ended.at(0).number == 8 && receivedReport->ended[0].end == tasks::RunEnd::GangMemberEnded && receivedReport->ended[0].checkpoint == "d");
         }
     }
 
--- a/src/delivery/testing/order_forwarder_test.cc
+++ b/src/delivery/testing/order_forwarder_test.cc
@@ -116,7 +116,7 @@
         record.id = job;
         record.text = "the text";
         record.steps.emplace_back();
-        this->jobs.apply(tasks::keyText({ tasks::RecordKind::Job, job }), tasks::encodeJob(record), 1, this->clock.now());
+        this->jobs.apply(tasks::formatKey({ tasks::RecordKind::Job, job }), tasks::encodeJob(record), 1, this->clock.now());
     }
 
     void receiveOrders(std::vector<NumberedCall> calls)
--- a/src/instance/gateway.cc
+++ b/src/instance/gateway.cc
@@ -66,7 +66,7 @@
     if (!queue)
         return this->answer(ticket, waiting, { .outcome = Outcome::NoSuchQueue, .givenWithoutStore = isPossiblyOutdated }, now);
     std::string workspace;
-    if (!queue->open) {
+    if (!queue->allowsAnonymous) {
         // Otherwise a revoked key would keep working here until this instance reads the
         // configuration again.
         if (now - this->configurationConfirmedAt > this->options.maxConfigurationAge)
@@ -102,10 +102,10 @@
 
 void Gateway::submit(std::uint64_t ticket, WaitingRequest waiting, const tasks::Queue& queue, std::string workspace, Millis now, Millis wallTime)
 {
-    waiting.recordKey = tasks::keyText({ RecordKind::Job, waiting.jobId });
+    waiting.recordKey = tasks::formatKey({ RecordKind::Job, waiting.jobId });
     if (this->jobs.find(waiting.jobId) || this->storedRecords.contains(waiting.recordKey))
         return this->answer(ticket, waiting, { .outcome = Outcome::Accepted }, now);
-    if (this->catalog->mostBodyBytes > 0 && static_cast<std::int64_t>(waiting.request.body.size()) > this->catalog->mostBodyBytes)
+    if (this->catalog->maxBodyBytes > 0 && static_cast<std::int64_t>(waiting.request.body.size()) > this->catalog->maxBodyBytes)
         return this->answer(ticket, waiting, { .outcome = Outcome::TooLarge }, now);
     Attempt<tasks::Job> job = attempt([&] { return this->protocol.parseJob(waiting.request.body); });
     if (!job.value)
@@ -126,8 +126,8 @@
     const JobEntry* entry = this->jobs.find(waiting.jobId);
     if (!entry)
         return this->reportState(ticket, std::move(waiting), now);
-    waiting.recordKey = tasks::keyText({ RecordKind::Cancel, waiting.jobId });
-    if (entry->cancelled || isFinal(entry->shown()) || this->storedRecords.contains(waiting.recordKey))
+    waiting.recordKey = tasks::formatKey({ RecordKind::Cancel, waiting.jobId });
+    if (entry->cancelled || isFinal(entry->visibleState()) || this->storedRecords.contains(waiting.recordKey))
         return this->answer(ticket, waiting, { .outcome = Outcome::Cancelled }, now);
     if (!this->isStoreReachable(now))
         return this->refuse(ticket, waiting, "the store is out of reach", now);
@@ -137,14 +137,14 @@
 void Gateway::reportState(std::uint64_t ticket, WaitingRequest waiting, Millis now)
 {
     const JobEntry* entry = this->jobs.find(waiting.jobId);
-    if (entry && entry->shown() == JobState::Running && this->isStoreReachable(now)) {
+    if (entry && entry->visibleState() == JobState::Running && this->isStoreReachable(now)) {
         waiting.awaited = AwaitedEvent::JobEnd;
         waiting.deadline = std::min(waiting.deadline, now + this->options.jobEndWait);
         this->waitingRequests.emplace(ticket, std::move(waiting));
         return;
     }
     if (entry)
-        return this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->shown(), .givenWithoutStore = !isFinal(entry->shown()) && !this->isStoreReachable(now) }, now);
+        return this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->visibleState(), .givenWithoutStore = !isFinal(entry->visibleState()) && !this->isStoreReachable(now) }, now);
     if (!this->isStoreReachable(now))
         return this->refuse(ticket, waiting, "the store is out of reach", now);
     waiting.awaited = AwaitedEvent::JobsConfirmed;
@@ -218,9 +218,9 @@
 bool Gateway::canAnswer(const WaitingRequest& waiting, const JobEntry& entry) const
 {
     if (waiting.awaited == AwaitedEvent::JobEnd)
-        return isFinal(entry.shown());
+        return isFinal(entry.visibleState());
     if (waiting.request.kind == RequestKind::Cancel)
-        return entry.cancelled || isFinal(entry.shown());
+        return entry.cancelled || isFinal(entry.visibleState());
     return waiting.request.kind != RequestKind::Other;
 }
 
@@ -240,7 +240,7 @@
             continue;
         this->waitingRequests.erase(current);
         if (kind == RequestKind::State)
-            this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->shown() }, now);
+            this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->visibleState() }, now);
         else
             this->answer(ticket, waiting, { .outcome = kind == RequestKind::Submit ? Outcome::Accepted : Outcome::Cancelled }, now);
     }
@@ -265,7 +265,7 @@
         else if (waiting.request.kind == RequestKind::Cancel)
             this->cancel(ticket, waiting, now);
         else
-            this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->shown() }, now);
+            this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->visibleState() }, now);
     }
 }
 
@@ -284,7 +284,7 @@
     for (const auto& [ticket, waiting] : this->takeWaiting([&](const WaitingRequest& candidate) { return now >= std::min(candidate.deadline, this->answerDeadline); })) {
         const JobEntry* entry = waiting.awaited == AwaitedEvent::JobEnd ? this->jobs.find(waiting.jobId) : nullptr;
         if (entry)
-            this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->shown() }, now);
+            this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->visibleState() }, now);
         else
             this->refuse(ticket, waiting, "no answer from the store in time", now);
     }
@@ -308,7 +308,7 @@
 // it must not be answered with "no such job", neither here nor by another instance.
 bool Gateway::isJobPossiblyStored(const std::string& jobId) const
 {
-    return !this->jobs.find(jobId) && this->isPossiblyStored(tasks::keyText({ RecordKind::Job, jobId }));
+    return !this->jobs.find(jobId) && this->isPossiblyStored(tasks::formatKey({ RecordKind::Job, jobId }));
 }
 
 // Outcome::NotNow promises that nothing was done and nothing will be done. While a record of
@@ -318,8 +318,8 @@
 {
     const RequestKind kind = waiting.request.kind;
     const JobEntry* entry = this->jobs.find(waiting.jobId);
-    const bool isPossiblyDone = (kind == RequestKind::Submit && (entry || this->isPossiblyStored(tasks::keyText({ RecordKind::Job, waiting.jobId }))))
-        || (kind == RequestKind::Cancel && ((entry && entry->cancelled) || this->isJobPossiblyStored(waiting.jobId) || this->isPossiblyStored(tasks::keyText({ RecordKind::Cancel, waiting.jobId }))));
+    const bool isPossiblyDone = (kind == RequestKind::Submit && (entry || this->isPossiblyStored(tasks::formatKey({ RecordKind::Job, waiting.jobId }))))
+        || (kind == RequestKind::Cancel && ((entry && entry->cancelled) || this->isJobPossiblyStored(waiting.jobId) || this->isPossiblyStored(tasks::formatKey({ RecordKind::Cancel, waiting.jobId }))));
     this->answer(ticket, waiting, { .outcome = isPossiblyDone ? Outcome::Unknown : Outcome::NotNow, .retryAfter = retryDelay, .message = std::move(why), .givenWithoutStore = true }, now);
 }
 
--- a/src/instance/leadership.h
+++ b/src/instance/leadership.h
@@ -105,8 +105,8 @@
     delivery::DirectChannel directChannel;
     delivery::RelayedChannel relayedChannel;
     StreamReader workersReader;
-    std::map<std::string, tasks::WorkerSighting> sightings;
-    std::map<std::string, tasks::WorkerSighting> loadingSightings;
+    std::map<std::string, tasks::WorkerDescription> sightings;
+    std::map<std::string, tasks::WorkerDescription> loadingSightings;
     bool loadingWorkerList { false };
     bool workerListChanged { false };
     WorkerClocks workerClocks;
--- a/src/tasks/task_planner.cc
+++ b/src/tasks/task_planner.cc
@@ -6,7 +6,7 @@
 
 #include "tasks/task_planner.h"
 
-#include "tasks/learned.h"
+#include "tasks/estimates_record.h"
 #include "tasks/planner_limits.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
     , jobTable(table)
     , catalog(std::make_shared<Catalog>())
 {
-    restoreLearned(plans.learned(), this->runTimes, this->workerSpeeds);
+    restoreEstimates(plans.estimates(), this->runTimes, this->workerSpeeds);
     static const Progress emptyPlan;
     for (const auto& [id, entry] : table.all()) {
         const Progress* plan = plans.find(id);
@@ -38,7 +38,7 @@
 void TaskPlanner::applyCatalog(std::shared_ptr<const Catalog> newCatalog)
 {
     this->catalog = std::move(newCatalog);
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 void TaskPlanner::adoptJob(const JobEntry& entry, const Progress& plan, Millis now, Millis wall)
@@ -93,7 +93,7 @@
         unit->suspect = progress.suspect;
         if (progress.state == UnitState::Running)
             this->adoptRun(*unit, progress, now);
-        else if (unit->crashes.isExhausted(unit->run))
+        else if (unit->crashes.shouldGiveUp(unit->run))
             this->exhaustedUnits.insert(unit->key); // The previous planner died before it failed the job.
     }
 }
@@ -102,9 +102,9 @@
 {
     unit.state = UnitState::Running;
     unit.workers = progress.workers;
-    unit.left = static_cast<std::int64_t>(progress.workers.size());
+    unit.membersLeft = static_cast<std::int64_t>(progress.workers.size());
     unit.placedAt = now;
-    unit.adopted = true;
+    unit.inherited = true;
     if (unit.suspect)
         this->isolatedUnits.insert(unit.key);
     this->dequeue(unit.key);
@@ -113,12 +113,12 @@
         auto [found, isNew] = this->workers.try_emplace(incarnation.id);
         Worker& worker = found->second;
         if (isNew) {
-            worker.seen.incarnation = incarnation;
+            worker.description.incarnation = incarnation;
             worker.listed = false;
         }
         // If records name two incarnations, the runs of both are kept until a poll shows which
         // of them exist: a start for the earlier incarnation may have reached the later one.
-        worker.seen.incarnation.born = std::max(worker.seen.incarnation.born, incarnation.born);
+        worker.description.incarnation.born = std::max(worker.description.incarnation.born, incarnation.born);
         // The previous planner may not have noticed yet that it was replaced, and may renew leases
         // at workers that this planner cannot reach. If that time were not counted, their tasks
         // could run twice at the same time.
@@ -126,9 +126,9 @@
         PlacedRun placedRun { .run = { unit.task(static_cast<std::int64_t>(member)), unit.run }, .unit = unit.key };
         placedRun.inherited = true;
         placedRun.phase = RunPhase::Starting;
-        placedRun.begun = std::find(progress.begun.begin(), progress.begun.end(), static_cast<std::int64_t>(member)) != progress.begun.end();
-        placedRun.room = this->roomOf(placedRun.run.task);
-        worker.used += placedRun.room;
+        placedRun.hasBegun = std::find(progress.startedMembers.begin(), progress.startedMembers.end(), static_cast<std::int64_t>(member)) != progress.startedMembers.end();
+        placedRun.resources = this->roomOf(placedRun.run.task);
+        worker.used += placedRun.resources;
         worker.placedRuns.emplace(placedRun.run, placedRun);
     }
 }
@@ -141,7 +141,7 @@
     active.job = job;
     active.text = std::make_shared<const std::string>(job->text);
     this->beginDueOccurrences(active, now, wall);
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 void TaskPlanner::jobCancelled(const std::string& id, Millis now)
@@ -174,23 +174,23 @@
     for (std::size_t i = 0; i < occurrence.steps.size(); ++i) {
         StepState& state = occurrence.steps[i];
         const Step& step = active.job->steps[i];
-        bool ready = !state.begun;
+        bool ready = !state.started;
         for (const std::int64_t earlier : step.dependsOn)
             ready = ready && occurrence.steps[static_cast<std::size_t>(earlier)].done;
         if (!ready)
             continue;
-        state.begun = true;
+        state.started = true;
         const auto stepIndex = static_cast<std::int64_t>(i);
         const std::int64_t first = step.gang ? wholeGang : 0;
         const std::int64_t end = step.gang ? 0 : step.count;
         for (std::int64_t index = first; index < end; ++index) {
             if (occurrence.doneUnits.contains({ stepIndex, index }))
                 continue;
-            ++state.left;
+            ++state.unitsLeft;
             this->addUnit(active, { active.job->id, number, stepIndex, index }, now);
         }
         // An earlier planner completed all units of the step; later steps may begin.
-        state.done = state.left == 0;
+        state.done = state.unitsLeft == 0;
     }
 }
 
@@ -214,7 +214,7 @@
     unit.job = active.job;
     unit.waitingSince = now;
     this->enqueue(unit);
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 void TaskPlanner::completeUnit(const UnitKey& key, Millis now)
@@ -229,7 +229,7 @@
             continue;
         const auto placedRun = worker->placedRuns.find({ unit.task(static_cast<std::int64_t>(member)), unit.run });
         if (placedRun != worker->placedRuns.end())
-            placedRun->second.stray = true;
+            placedRun->second.orphaned = true;
     }
     this->dequeue(key);
     this->isolatedUnits.erase(key);
@@ -240,12 +240,12 @@
     Occurrence& occurrence = active.occurrences.at(doneUnit.occurrence);
     occurrence.doneUnits.emplace(doneUnit.step, doneUnit.index);
     StepState& step = occurrence.steps[static_cast<std::size_t>(doneUnit.step)];
-    step.done = --step.left == 0;
+    step.done = --step.unitsLeft == 0;
     this->markDirty(doneUnit.job);
-    this->pacer.changed();
+    this->pacer.markChanged();
     if (!step.done)
         return;
-    this->workerSpeeds.learnSiblings(step.samples);
+    this->workerSpeeds.addSiblingRuns(step.samples);
     step.samples.clear();
     this->beginReadySteps(active, doneUnit.occurrence, now);
     for (const StepState& state : occurrence.steps) {
@@ -264,27 +264,27 @@
 // resumed or adopted runs, nor from runs placed away from their preferred racks.
 void TaskPlanner::learnRunTime(const Unit& unit, Millis now)
 {
-    if (unit.startedAt == 0 || unit.progressAtStart > 0 || unit.adopted || unit.placedFar || unit.step().longRunning)
+    if (unit.startedAt == 0 || unit.progressAtStart > 0 || unit.inherited || unit.placedRemotely || unit.step().longRunning)
         return;
     const Millis took = now - unit.startedAt;
     std::vector<std::string> ids;
     for (const Incarnation& incarnation : unit.workers)
         ids.push_back(incarnation.id);
     const std::string& queue = unit.job->terms.queue;
-    const RunTimes::Forecast expected = this->runTimes.expect(queue, unit.step().estimate);
-    this->runTimes.learn(queue, unit.step().estimate, static_cast<double>(took) * this->workerSpeeds.slowestOf(ids));
+    const RunTimes::Forecast expected = this->runTimes.forecast(queue, unit.step().estimate);
+    this->runTimes.addRun(queue, unit.step().estimate, static_cast<double>(took) * this->workerSpeeds.slowestOf(ids));
     if (unit.key.index == wholeGang || unit.step().count == 1)
-        this->workerSpeeds.learnGang(ids, expected, took);
+        this->workerSpeeds.addGangRun(ids, expected, took);
     else
         this->jobs.at(unit.key.job).occurrences.at(unit.key.occurrence).steps[static_cast<std::size_t>(unit.key.step)].samples.push_back({ ids.front(), took });
 }
 
 void TaskPlanner::requeueUnit(Unit& unit, Millis now)
 {
-    const bool failed = unit.failed;
+    const bool failed = unit.memberFailed;
     unit.state = UnitState::Waiting;
     unit.workers.clear();
-    unit.failed = false;
+    unit.memberFailed = false;
     unit.stopping = false;
     unit.startedAt = 0;
     unit.waitingSince = now;
@@ -292,9 +292,9 @@
     this->isolatedUnits.erase(unit.key);
     this->enqueue(unit);
     this->markDirty(unit.key.job);
-    this->pacer.changed();
+    this->pacer.markChanged();
     this->emit(PlanEventKind::UnitRetried, unit.key, unit.run, "", failed ? "failed" : "ended early");
-    if (unit.crashes.isExhausted(unit.run))
+    if (unit.crashes.shouldGiveUp(unit.run))
         this->exhaustedUnits.insert(unit.key);
 }
 
@@ -307,7 +307,7 @@
         return;
     this->markDirty(run.task.job);
     const auto failures = static_cast<std::int64_t>(unit->failedRuns.size());
-    if (failures >= unit->job->terms.mostAttempts)
+    if (failures >= unit->job->terms.maxAttempts)
         this->finishJob(run.task.job, JobState::Failed, fmt::format("step {} failed {} times", run.task.step, failures), now);
 }
 
@@ -322,7 +322,7 @@
     this->emit(PlanEventKind::JobFinished, { id, 0, 0, 0 }, 0, "", fmt::format("{} {}", nameOf(state), active.reason));
     this->dropUnits(active.job->id, now);
     this->markDirty(active.job->id);
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 // The id must not refer to a string inside a unit, since the units are destroyed here.
@@ -347,8 +347,8 @@
         if (!worker || !worker->placedRuns.contains(run))
             continue;
         PlacedRun& placedRun = worker->placedRuns.at(run);
-        placedRun.stray = true;
-        placedRun.wantStop(now);
+        placedRun.orphaned = true;
+        placedRun.requestStop(now);
         if (placedRun.phase == RunPhase::Recording)
             this->removeMember(*worker, run, std::nullopt, "", now);
     }
@@ -370,7 +370,7 @@
 
 // The resources that a task takes. For a task without a record they are unknown, and larger
 // than any worker, so that nothing is placed on its worker until the run has been stopped.
-Room TaskPlanner::roomOf(const TaskRef& task) const
+Resources TaskPlanner::roomOf(const TaskRef& task) const
 {
     const auto active = this->jobs.find(task.job);
     const JobEntry* entry = this->jobTable.find(task.job);
@@ -379,8 +379,8 @@
     if (!job || task.step < 0 || task.step >= static_cast<std::int64_t>(job->steps.size()))
         return unknownRoom;
     const Step& step = job->steps[static_cast<std::size_t>(task.step)];
-    Room room = step.each;
-    if (step.fills)
+    Resources room = step.perTask;
+    if (step.usesIdleCores)
         room.milliCores = 0;
     return room;
 }
@@ -397,7 +397,7 @@
 {
     std::size_t count = 0;
     for (const auto& [id, worker] : this->workers)
-        count += worker.known ? 1 : 0;
+        count += worker.hasAnswered ? 1 : 0;
     return count;
 }
 
--- a/src/tasks/task_planner.h
+++ b/src/tasks/task_planner.h
@@ -31,13 +31,13 @@
 #include "tasks/advice.h"
 #include "tasks/candidate.h"
 #include "tasks/catalog.h"
-#include "tasks/domain_doubts.h"
 #include "tasks/job_table.h"
 #include "tasks/orders.h"
 #include "tasks/plan_table.h"
+#include "tasks/planner_state.h"
 #include "tasks/round_pacer.h"
 #include "tasks/run_times.h"
-#include "tasks/unit.h"
+#include "tasks/suspected_domains.h"
 #include "tasks/worker_speeds.h"
 
 #include <limits>
@@ -67,7 +67,7 @@
     void jobCancelled(const std::string& id, Millis now);
 
     // Reports the complete current list of workers.
-    void workersListed(const std::vector<WorkerSighting>&, Millis now);
+    void workersListed(const std::vector<WorkerDescription>&, Millis now);
 
     // Report the results of orders. `concurrent` is the value in the poll's order; `accepted` tells
     // whether the worker answered the stop.
@@ -86,7 +86,7 @@
     Orders takeOrders(Millis now);
 
     // Reports how long the last step() took, by the caller's clock.
-    void reportStepDuration(Millis duration, Millis now) { this->pacer.took(this->round.kind, duration, now); }
+    void reportStepDuration(Millis duration, Millis now) { this->pacer.roundFinished(this->round.kind, duration, now); }
 
     // Counts of the last step(), for the log event of a slow one.
     struct Round {
@@ -168,7 +168,7 @@
     bool isInDoubtedDomain(const Worker&, Millis now) const;
     Worker* find(const Incarnation&); // By id only: the run may be in a later incarnation.
     Unit* find(const UnitKey&);
-    Room roomOf(const TaskRef&) const;
+    Resources roomOf(const TaskRef&) const;
     UnitKey unitOf(const TaskRef&) const;
 
     // Runs that were lost with their workers, and tasks suspected of crashing workers.
@@ -211,7 +211,7 @@
 
     // Advice on which workers may run a step.
     std::set<std::string> allowedWorkers(const StepAdvice&, const Snapshot&, Millis now) const;
-    std::vector<detail::Askable> adviceCandidates(const StepAdvice&, const Snapshot&, const PlacementRequest&, Millis now) const;
+    std::vector<detail::AdviceCandidate> adviceCandidates(const StepAdvice&, const Snapshot&, const PlacementRequest&, Millis now) const;
     bool claimAdviceTurn(StepAdvice&);
     bool resolveAdvice(const Unit&, const Snapshot&, PlacementRequest&, Millis now);
     const std::string* ticketFor(const UnitKey&, const Incarnation&, Millis now) const;
@@ -264,7 +264,7 @@
     std::set<UnitKey> exhaustedUnits; // Units with too many crashes; their jobs fail at the next step.
     std::set<UnitKey> isolatedUnits; // Suspect units that run on workers of their own.
     std::map<std::string, Worker> workers; // By worker id; the newest incarnation of each.
-    DomainDoubts domainDoubts;
+    SuspectedDomains domainDoubts;
     RunTimes runTimes;
     WorkerSpeeds workerSpeeds;
     Millis lastWaitReportAt { 0 }; // When the wait of the oldest unit was last reported.
--- a/src/tasks/task_planner_advice.cc
+++ b/src/tasks/task_planner_advice.cc
@@ -28,23 +28,23 @@
 {
     std::set<std::string> allowed;
     for (const SnapshotWorker& worker : snapshot.workers) {
-        if (stepAdvice.ticketFor(this->workers.at(worker.id).seen.incarnation, now + minTicketValidity))
+        if (stepAdvice.ticketFor(this->workers.at(worker.id).description.incarnation, now + minTicketValidity))
             allowed.insert(worker.id);
     }
     return allowed;
 }
 
 // Workers that could run a member and for which no valid verdict is known.
-std::vector<Askable> TaskPlanner::adviceCandidates(const StepAdvice& stepAdvice, const Snapshot& snapshot, const PlacementRequest& request, Millis now) const
+std::vector<AdviceCandidate> TaskPlanner::adviceCandidates(const StepAdvice& stepAdvice, const Snapshot& snapshot, const PlacementRequest& request, Millis now) const
 {
-    std::vector<Askable> candidates;
+    std::vector<AdviceCandidate> candidates;
     PlacementRequest anywhere = request;
-    anywhere.allowed = nullptr;
+    anywhere.allowedWorkers = nullptr;
     for (const SnapshotWorker& worker : snapshot.workers) {
-        const Incarnation& incarnation = this->workers.at(worker.id).seen.incarnation;
-        if (!snapshot.suits(worker, anywhere) || !request.each.within(worker.capacity) || !stepAdvice.isOpen(incarnation, now + minTicketValidity))
+        const Incarnation& incarnation = this->workers.at(worker.id).description.incarnation;
+        if (!snapshot.isEligible(worker, anywhere) || !request.perMember.fitsIn(worker.capacity) || !stepAdvice.needsRequest(incarnation, now + minTicketValidity))
             continue;
-        candidates.push_back({ &worker, worker.rack == request.rack, request.each.within(worker.free) && request.each.within(worker.afterStops) });
+        candidates.push_back({ &worker, worker.rack == request.rack, request.perMember.fitsIn(worker.free) && request.perMember.fitsIn(worker.freeAfterStops) });
     }
     return candidates;
 }
@@ -55,15 +55,15 @@
 // pass over all steps. Rounds of urgent units are exempt.
 bool TaskPlanner::claimAdviceTurn(StepAdvice& stepAdvice)
 {
-    const bool isWholeRound = this->round.kind == RoundKind::Whole;
-    if (isWholeRound && stepAdvice.askedIn == this->advicePass)
+    const bool isWholeRound = this->round.kind == RoundKind::Full;
+    if (isWholeRound && stepAdvice.lastPass == this->advicePass)
         return false;
     if (this->pendingAdviceRequests >= maxPendingAdviceRequests) {
         this->hasDeferredAdvice = true;
         return false;
     }
     if (isWholeRound)
-        stepAdvice.askedIn = this->advicePass;
+        stepAdvice.lastPass = this->advicePass;
     return true;
 }
 
@@ -74,23 +74,23 @@
     StepAdvice& stepAdvice = this->adviceByStep[stepOf(unit.key)];
     if (snapshot.findFree(request))
         return true;
-    std::vector<Askable> candidates = this->adviceCandidates(stepAdvice, snapshot, request, now);
-    if (candidates.empty() && stepAdvice.underWay.empty() && !snapshot.couldEverFit(request)) {
-        request.avoid = nullptr; // The policy allows too few other workers.
+    std::vector<AdviceCandidate> candidates = this->adviceCandidates(stepAdvice, snapshot, request, now);
+    if (candidates.empty() && stepAdvice.requestedWorkers.empty() && !snapshot.fitsWhenEmpty(request)) {
+        request.excludedWorkers = nullptr; // The policy allows too few other workers.
         candidates = this->adviceCandidates(stepAdvice, snapshot, request, now);
     }
-    if (!request.rack.empty() && std::none_of(candidates.begin(), candidates.end(), [](const Askable& candidate) { return candidate.near; }) && !snapshot.couldEverFit(request))
+    if (!request.rack.empty() && std::none_of(candidates.begin(), candidates.end(), [](const AdviceCandidate& candidate) { return candidate.nearData; }) && !snapshot.fitsWhenEmpty(request))
         request.rack.clear(); // No worker of the rack is allowed.
     if (snapshot.findFree(request))
         return true;
     if (candidates.empty())
-        return stepAdvice.underWay.empty();
-    std::stable_sort(candidates.begin(), candidates.end(), [](const Askable& a, const Askable& b) { return std::pair(a.near, a.free) > std::pair(b.near, b.free); });
-    if (stepAdvice.underWay.empty() && now >= stepAdvice.notBefore && this->claimAdviceTurn(stepAdvice)) {
+        return stepAdvice.requestedWorkers.empty();
+    std::stable_sort(candidates.begin(), candidates.end(), [](const AdviceCandidate& a, const AdviceCandidate& b) { return std::pair(a.nearData, a.fitsNow) > std::pair(b.nearData, b.fitsNow); });
+    if (stepAdvice.requestedWorkers.empty() && now >= stepAdvice.notBefore && this->claimAdviceTurn(stepAdvice)) {
         AdviceOrder order { .step = stepOf(unit.key), .terms = unit.job->terms.advice, .workers = {} };
         for (std::size_t i = 0; i < std::min(candidates.size(), maxWorkersPerAdviceRequest); ++i) {
             order.workers.push_back(candidates[i].worker->id);
-            stepAdvice.underWay.push_back(this->workers.at(candidates[i].worker->id).seen.incarnation);
+            stepAdvice.requestedWorkers.push_back(this->workers.at(candidates[i].worker->id).description.incarnation);
         }
         ++this->pendingAdviceRequests;
         this->adviceOrders.push_back(std::move(order));
@@ -101,20 +101,20 @@
 void TaskPlanner::adviceAnswered(const StepKey& step, const std::vector<AllowedWorker>& allowed, Millis now)
 {
     --this->pendingAdviceRequests;
-    this->pacer.changed();
+    this->pacer.markChanged();
     const auto found = this->adviceByStep.find(step);
     const auto job = this->jobs.find(step.job);
     if (found == this->adviceByStep.end() || job == this->jobs.end())
         return; // The job is final.
     StepAdvice& stepAdvice = found->second;
-    for (const Incarnation& incarnation : stepAdvice.underWay) {
+    for (const Incarnation& incarnation : stepAdvice.requestedWorkers) {
         const auto row = std::find_if(allowed.begin(), allowed.end(), [&](const AllowedWorker& worker) { return worker.id == incarnation.id; });
         if (row == allowed.end())
             stepAdvice.deny(incarnation);
         else
-            stepAdvice.allow(incarnation, row->ticket, now + job->second.job->terms.advice.valid);
+            stepAdvice.allow(incarnation, row->ticket, now + job->second.job->terms.advice.ticketValidity);
     }
-    stepAdvice.underWay.clear();
+    stepAdvice.requestedWorkers.clear();
 }
 
 void TaskPlanner::adviceFailed(const StepKey& step, Millis now)
@@ -123,7 +123,7 @@
     const auto found = this->adviceByStep.find(step);
     if (found == this->adviceByStep.end())
         return;
-    found->second.underWay.clear();
+    found->second.requestedWorkers.clear();
     found->second.notBefore = now + adviceRetryDelay;
 }
 
--- a/src/tasks/task_planner_crashes.cc
+++ b/src/tasks/task_planner_crashes.cc
@@ -32,9 +32,9 @@
         return;
     const PlacedRun placedRun = found->second;
     const std::string confirmed = placedRun.confirmedAt > 0 ? fmt::format("confirmed {} ms ago", now - placedRun.confirmedAt) : "never confirmed";
-    this->emit(PlanEventKind::RunLost, placedRun.unit, run.run, worker.seen.incarnation.id, fmt::format("{}, {}, {} runs there", nameOf(loss), confirmed, worker.placedRuns.size()));
+    this->emit(PlanEventKind::RunLost, placedRun.unit, run.run, worker.description.incarnation.id, fmt::format("{}, {}, {} runs there", nameOf(loss), confirmed, worker.placedRuns.size()));
     this->countCrash(worker, placedRun, loss);
-    this->removeMember(worker, run, loss == RunLoss::LeaseOver ? std::optional(RunEnd::Lapsed) : std::nullopt, "", now);
+    this->removeMember(worker, run, loss == RunLoss::LeaseOver ? std::optional(RunEnd::LeaseExpired) : std::nullopt, "", now);
 }
 
 // Counts a crash unless there is a better explanation: a leaving worker has left, and a worker
@@ -43,16 +43,16 @@
 // evidence is unproven.
 void TaskPlanner::countCrash(const Worker& worker, const PlacedRun& placedRun, RunLoss loss)
 {
-    if (worker.seen.leaving || placedRun.phase == RunPhase::Recording || (loss == RunLoss::LeaseOver && worker.listed))
+    if (worker.description.leaving || placedRun.phase == RunPhase::Recording || (loss == RunLoss::LeaseOver && worker.listed))
         return;
     const Unit* unit = this->find(placedRun.unit);
     CrashEvidence evidence = CrashEvidence::Early;
-    const bool wasStopping = placedRun.stopAnsweredAt > 0;
-    if (loss == RunLoss::LeaseOver || !placedRun.begun || wasStopping)
+    const bool wasStopping = placedRun.startRuledOutAt > 0;
+    if (loss == RunLoss::LeaseOver || !placedRun.hasBegun || wasStopping)
         evidence = CrashEvidence::Unproven;
-    else if (placedRun.isProven())
+    else if (placedRun.hasSurvivedStart())
         evidence = CrashEvidence::Late;
-    else if (unit && !unit->adopted && unit->run == placedRun.run.run && this->isolatedUnits.contains(placedRun.unit))
+    else if (unit && !unit->inherited && unit->run == placedRun.run.run && this->isolatedUnits.contains(placedRun.unit))
         evidence = CrashEvidence::Alone;
     this->addCrash(placedRun, evidence);
 }
@@ -64,7 +64,7 @@
         return;
     this->markDirty(unit->key.job);
     unit->suspect = unit->suspect || evidence != CrashEvidence::Late;
-    if (unit->crashes.isExhausted(unit->run))
+    if (unit->crashes.shouldGiveUp(unit->run))
         this->exhaustedUnits.insert(unit->key);
 }
 
@@ -75,14 +75,14 @@
     unit.suspect = false;
     if (unit.step().longRunning)
         unit.crashes.clear();
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 void TaskPlanner::failExhaustedJobs(Millis now)
 {
     for (const UnitKey& key : std::exchange(this->exhaustedUnits, {})) {
         const Unit* unit = this->find(key);
-        if (unit && unit->crashes.isExhausted(unit->run))
+        if (unit && unit->crashes.shouldGiveUp(unit->run))
             this->finishJob(unit->job->id, JobState::Failed, fmt::format("step {}: {} workers crashed under its tasks", key.step, unit->crashes.size()), now);
     }
 }
@@ -93,7 +93,7 @@
 {
     placedRun.phase = RunPhase::Running;
     placedRun.confirmedAt = now;
-    placedRun.begun = true;
+    placedRun.hasBegun = true;
     if (const Unit* unit = this->find(placedRun.unit); unit && unit->crashes.size() > 0)
         this->markDirty(placedRun.unit.job);
 }
@@ -104,7 +104,7 @@
         Worker* worker = this->find(unit.workers[member]);
         const RunRef run { unit.task(static_cast<std::int64_t>(member)), unit.run };
         const auto placedRun = worker ? worker->placedRuns.find(run) : std::map<RunRef, PlacedRun>::iterator();
-        if (!worker || placedRun == worker->placedRuns.end() || !placedRun->second.isProven())
+        if (!worker || placedRun == worker->placedRuns.end() || !placedRun->second.hasSurvivedStart())
             return false;
     }
     return true;
@@ -126,14 +126,14 @@
 // isolation.
 bool TaskPlanner::isSurvivalCheckDue(const PlacedRun& placedRun, Millis now) const
 {
-    return placedRun.phase == RunPhase::Running && !placedRun.isProven() && now >= placedRun.confirmedAt + provenAfter && this->isolatedUnits.contains(placedRun.unit);
+    return placedRun.phase == RunPhase::Running && !placedRun.hasSurvivedStart() && now >= placedRun.confirmedAt + startSurvivalTime && this->isolatedUnits.contains(placedRun.unit);
 }
 
 Millis TaskPlanner::nextSurvivalCheck(Millis now) const
 {
     Millis next = std::numeric_limits<Millis>::max();
     for (const UnitKey& key : this->isolatedUnits) {
-        const Millis checkAt = this->units.at(key).startedAt + provenAfter;
+        const Millis checkAt = this->units.at(key).startedAt + startSurvivalTime;
         if (checkAt > now)
             next = std::min(next, checkAt);
     }
@@ -149,7 +149,7 @@
         if (worker == this->workers.end())
             continue;
         const auto placedRun = worker->second.placedRuns.find({ unit.task(member), unit.run });
-        if (placedRun != worker->second.placedRuns.end() && placedRun->second.begun)
+        if (placedRun != worker->second.placedRuns.end() && placedRun->second.hasBegun)
             members.push_back(member);
     }
     return members;
--- a/src/tasks/task_planner_evictions.cc
+++ b/src/tasks/task_planner_evictions.cc
@@ -15,10 +15,10 @@
 double TaskPlanner::lostWorkOf(const Unit& unit, Millis now) const
 {
     constexpr double restartSeconds = 0.3;
-    const double weight = weightOf(unit.step().each) * static_cast<double>(unit.members());
+    const double weight = coreEquivalents(unit.step().perTask) * static_cast<double>(unit.members());
     if (unit.startedAt == 0)
         return weight * restartSeconds;
-    const double ran = static_cast<double>(now - unit.startedAt + unit.ranBefore.value_or(0)) / 1000.0;
+    const double ran = static_cast<double>(now - unit.startedAt + unit.inheritedWork.value_or(0)) / 1000.0;
     return weight * (unit.step().savesProgress ? restartSeconds : ran + restartSeconds);
 }
 
@@ -27,7 +27,7 @@
 double TaskPlanner::evictionCost(const Unit& unit, Millis now) const
 {
     const double lost = this->lostWorkOf(unit, now);
-    return unit.step().savesProgress ? lost : lost * static_cast<double>(1 + unit.evictions);
+    return unit.step().savesProgress ? lost : lost * static_cast<double>(1 + unit.evictionCount);
 }
 
 // The work in core-seconds that others may lose so that a unit which is not guaranteed can start
@@ -36,20 +36,20 @@
 {
     if (unit.job->terms.priority == 0)
         return maxUrgentLostCoreSeconds;
-    const double work = weightOf(unit.step().each) * static_cast<double>(unit.members() * this->expectedRunTime(unit)) / 1000.0;
+    const double work = coreEquivalents(unit.step().perTask) * static_cast<double>(unit.members() * this->expectedRunTime(unit)) / 1000.0;
     return work * maxLostWorkFraction;
 }
 
 bool TaskPlanner::canEvict(const Candidate& candidate, Millis now)
 {
-    if (candidate.queueKey.useless && !candidate.queueKey.guaranteed)
+    if (candidate.queueKey.isTooLate && !candidate.queueKey.guaranteed)
         return false;
     if (candidate.unit->job->terms.priority == 0)
         return true;
     const Millis evictionAllowedAt = candidate.queueKey.latestStart - evictionLeadTime;
     if (now >= evictionAllowedAt)
         return true;
-    this->pacer.dueBy(evictionAllowedAt);
+    this->pacer.scheduleBy(evictionAllowedAt);
     return false;
 }
 
@@ -69,11 +69,11 @@
     for (const UnitKey& victim : plan->victims) {
         Unit& stopped = this->units.at(victim);
         this->emit(PlanEventKind::UnitEvicted, victim, stopped.run, "", fmt::format("for {}, {:.0f} core-seconds lost", unit.key.job, this->lostWorkOf(stopped, now)));
-        ++stopped.evictions;
-        snapshot.markEnding(victim, stopped.workers);
+        ++stopped.evictionCount;
+        snapshot.markStopping(victim, stopped.workers);
         this->stopUnit(stopped, now);
     }
-    snapshot.promise(request, plan->places);
+    snapshot.allocateAfterStops(request, plan->placement);
     return true;
 }
 
@@ -81,9 +81,9 @@
 // waited is the first question of an investigation.
 void TaskPlanner::reportEvictionRefusal(Unit& unit, EvictionRefusal refusal, double cost, double bound)
 {
-    if (unit.refusal == refusal)
+    if (unit.reportedRefusal == refusal)
         return;
-    unit.refusal = refusal;
+    unit.reportedRefusal = refusal;
     std::string reason = refusal == EvictionRefusal::NoRoom ? "no runs that it may stop make room" : fmt::format("the cheapest choice loses {:.0f} core-seconds, {:.0f} are allowed", cost, bound);
     this->emit(PlanEventKind::UnitWaits, unit.key, unit.run, "", std::move(reason));
 }
--- a/src/tasks/task_planner_incarnations.cc
+++ b/src/tasks/task_planner_incarnations.cc
@@ -14,35 +14,35 @@
 // earlier one.
 void TaskPlanner::loseIncarnation(Worker& worker, Millis now, const char* reason)
 {
-    this->emit(PlanEventKind::WorkerGone, {}, 0, worker.seen.incarnation.id, reason);
+    this->emit(PlanEventKind::WorkerGone, {}, 0, worker.description.incarnation.id, reason);
     std::vector<RunRef> lost;
     for (const auto& [run, placedRun] : worker.placedRuns)
         lost.push_back(run);
     for (const RunRef& run : lost)
         this->loseRun(worker, run, RunLoss::WorkerEnded, now);
-    const WorkerSighting seen = worker.seen;
+    const WorkerDescription seen = worker.description;
     worker = Worker {};
-    worker.seen = seen;
+    worker.description = seen;
     worker.listed = false;
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 // The worker has restarted and keeps no state of its earlier incarnation. Runs that it lists
 // belong to the current incarnation; an unanswered start may still arrive there.
 void TaskPlanner::changeIncarnation(Worker& worker, const WorkerReport& report, Millis sentAt, bool concurrent, Millis now)
 {
-    this->emit(PlanEventKind::WorkerGone, {}, 0, worker.seen.incarnation.id, "a later incarnation answers");
-    const Incarnation earlier = worker.seen.incarnation;
-    worker.seen.incarnation.born = report.born;
+    this->emit(PlanEventKind::WorkerGone, {}, 0, worker.description.incarnation.id, "a later incarnation answers");
+    const Incarnation earlier = worker.description.incarnation;
+    worker.description.incarnation.born = report.born;
     // The restart was shown by a concurrent poll, so a pending poll that acknowledges ends may
     // still arrive at the current incarnation.
-    if (concurrent && worker.pollUnderWay && worker.ackUnderWay > 0)
-        worker.ackLostAt = now;
-    if (worker.ackLostAt > 0)
-        worker.takesNothingUntil = worker.ackLostAt + maxCallDelay;
-    worker.handled = worker.durable = worker.acknowledged = worker.ackUnderWay = 0;
+    if (concurrent && worker.pollInFlight && worker.ackInFlight > 0)
+        worker.ackUnansweredAt = now;
+    if (worker.ackUnansweredAt > 0)
+        worker.placementBlockedUntil = worker.ackUnansweredAt + maxCallDelay;
+    worker.handledUpTo = worker.durableUpTo = worker.acknowledgedUpTo = worker.ackInFlight = 0;
     worker.ackDueBy = 0;
-    worker.trust = {};
+    worker.health = {};
     this->endsInBatch.erase(earlier);
     std::set<RunRef> listed;
     for (const RunningTask& running : report.running)
@@ -61,8 +61,8 @@
         } else {
             placedRun.phase = RunPhase::Starting;
             placedRun.inherited = false;
-            placedRun.wantStop(now);
-            placedRun.stopAnsweredAt = 0;
+            placedRun.requestStop(now);
+            placedRun.startRuledOutAt = 0;
             unconfirmed.push_back(placedRun);
         }
     }
@@ -74,35 +74,35 @@
     for (const RunRef& run : lost)
         this->loseRun(worker, run, RunLoss::WorkerRestarted, now);
     for (auto& [run, placedRun] : worker.placedRuns) {
-        Unit* unit = placedRun.stray ? nullptr : this->find(placedRun.unit);
+        Unit* unit = placedRun.orphaned ? nullptr : this->find(placedRun.unit);
         if (!unit)
             continue;
         for (Incarnation& incarnation : unit->workers) {
             if (incarnation == earlier)
-                incarnation = worker.seen.incarnation;
+                incarnation = worker.description.incarnation;
         }
     }
 }
 
 void TaskPlanner::rememberLostStart(Worker& worker, PlacedRun& placedRun, Millis now)
 {
-    placedRun.startLost = true;
-    std::erase_if(worker.lostStarts, [now](const auto& row) { return now >= row.second + maxCallDelay; });
-    worker.lostStarts[placedRun.run] = now;
+    placedRun.hasUnansweredStart = true;
+    std::erase_if(worker.unansweredStarts, [now](const auto& row) { return now >= row.second + maxCallDelay; });
+    worker.unansweredStarts[placedRun.run] = now;
 }
 
 bool TaskPlanner::canStartLate(const Worker& worker, const RunRef& run, Millis now)
 {
-    const auto found = worker.lostStarts.find(run);
-    return found != worker.lostStarts.end() && now < found->second + maxCallDelay;
+    const auto found = worker.unansweredStarts.find(run);
+    return found != worker.unansweredStarts.end() && now < found->second + maxCallDelay;
 }
 
 // Whether unanswered calls may still be executed by a later incarnation, which cannot tell that
 // they were meant for an earlier one.
 bool TaskPlanner::canReceiveLateCalls(const Worker& worker, Millis now)
 {
-    const bool canReceiveLateAck = worker.ackLostAt > 0 && now < worker.ackLostAt + maxCallDelay;
-    return canReceiveLateAck || std::any_of(worker.lostStarts.begin(), worker.lostStarts.end(), [now](const auto& row) { return now < row.second + maxCallDelay; });
+    const bool canReceiveLateAck = worker.ackUnansweredAt > 0 && now < worker.ackUnansweredAt + maxCallDelay;
+    return canReceiveLateAck || std::any_of(worker.unansweredStarts.begin(), worker.unansweredStarts.end(), [now](const auto& row) { return now < row.second + maxCallDelay; });
 }
 
 // Stops runs whose unanswered start may still arrive. A later incarnation does not know which
@@ -110,15 +110,15 @@
 // time.
 void TaskPlanner::stopLateStarts(Worker& worker, Millis now)
 {
-    for (const auto& [run, lostAt] : worker.lostStarts) {
+    for (const auto& [run, lostAt] : worker.unansweredStarts) {
         if (!canStartLate(worker, run, now) || worker.placedRuns.contains(run))
             continue;
         PlacedRun lateStart { .run = run, .unit = this->unitOf(run.task) };
-        lateStart.stray = true;
+        lateStart.orphaned = true;
         lateStart.phase = RunPhase::Starting;
-        lateStart.room = this->roomOf(run.task);
-        lateStart.wantStop(now);
-        worker.used += lateStart.room;
+        lateStart.resources = this->roomOf(run.task);
+        lateStart.requestStop(now);
+        worker.used += lateStart.resources;
         worker.placedRuns.emplace(run, lateStart);
     }
 }
--- a/src/tasks/task_planner_orders.cc
+++ b/src/tasks/task_planner_orders.cc
@@ -1,6 +1,6 @@
 // Orders: records that must be durable first, and the starts and stops that are due.
 
-#include "tasks/learned.h"
+#include "tasks/estimates_record.h"
 #include "tasks/planner_limits.h"
 #include "tasks/task_planner.h"
 
@@ -42,7 +42,7 @@
         unitProgress.crashes = unit.crashes.all();
         unitProgress.suspect = unit.suspect;
         if (!unitProgress.crashes.empty())
-            unitProgress.begun = this->begunMembers(unit);
+            unitProgress.startedMembers = this->begunMembers(unit);
         progress.units.push_back(std::move(unitProgress));
     }
     return progress;
@@ -76,16 +76,16 @@
     if (this->isBatchPending)
         return;
     for (const auto& [id, worker] : this->workers) {
-        if (worker.handled > worker.durable)
-            this->endsInBatch[worker.seen.incarnation] = worker.handled;
+        if (worker.handledUpTo > worker.durableUpTo)
+            this->endsInBatch[worker.description.incarnation] = worker.handledUpTo;
     }
     if (!this->isRecordDue(now))
         return;
     if (this->dirtyJobs.empty() && this->jobsToForget.empty()) {
         // Ends that changed no job need no record and can be acknowledged.
         for (const auto& [incarnation, number] : this->endsInBatch) {
-            if (Worker* worker = this->find(incarnation); worker && worker->seen.incarnation == incarnation)
-                worker->durable = number;
+            if (Worker* worker = this->find(incarnation); worker && worker->description.incarnation == incarnation)
+                worker->durableUpTo = number;
         }
         this->endsInBatch.clear();
         return;
@@ -96,7 +96,7 @@
         this->recordJob(id, batch);
     if (now >= this->lastLearnedRecordAt + learnedRecordInterval) {
         this->lastLearnedRecordAt = now;
-        batch.plans.emplace_back(keyText({ RecordKind::Learned, "" }), encodeLearned(this->runTimes, this->workerSpeeds));
+        batch.plans.emplace_back(formatKey({ RecordKind::Estimates, "" }), encodeEstimates(this->runTimes, this->workerSpeeds));
     }
     this->recordDeletions(batch);
     this->dirtyJobs.clear();
@@ -114,9 +114,9 @@
     if (found == this->jobs.end())
         return;
     ActiveJob& active = found->second;
-    batch.plans.emplace_back(keyText({ RecordKind::Progress, id }), encodeProgress(this->progressOf(active)));
+    batch.plans.emplace_back(formatKey({ RecordKind::Progress, id }), encodeProgress(this->progressOf(active)));
     if (active.state != active.recordedState)
-        batch.jobs.emplace_back(keyText({ RecordKind::State, id }), encodeState(active.state));
+        batch.jobs.emplace_back(formatKey({ RecordKind::State, id }), encodeState(active.state));
     active.recordedState = active.state;
     if (!isFinal(active.state))
         return;
@@ -134,11 +134,11 @@
 void TaskPlanner::recordDeletions(RecordBatch& batch)
 {
     for (const std::string& id : this->obsoletePlans)
-        batch.plans.emplace_back(keyText({ RecordKind::Progress, id }), "");
+        batch.plans.emplace_back(formatKey({ RecordKind::Progress, id }), "");
     this->obsoletePlans.clear();
     for (const std::string& id : this->jobsToForget) {
         for (const RecordKind kind : { RecordKind::Cancel, RecordKind::State, RecordKind::Job })
-            batch.jobs.emplace_back(keyText({ kind, id }), "");
+            batch.jobs.emplace_back(formatKey({ kind, id }), "");
     }
     this->jobsToForget.clear();
 }
@@ -147,7 +147,7 @@
 // record can take seconds.
 bool TaskPlanner::isWithinCapacity(const Worker& worker)
 {
-    return worker.used.within(worker.seen.capacity);
+    return worker.used.fitsIn(worker.description.capacity);
 }
 
 void TaskPlanner::batchRecorded(std::int64_t batch, Millis now)
@@ -157,9 +157,9 @@
     this->isBatchPending = false;
     for (const auto& [incarnation, number] : this->endsInBatch) {
         Worker* worker = this->find(incarnation);
-        if (!worker || worker->seen.incarnation != incarnation)
+        if (!worker || worker->description.incarnation != incarnation)
             continue; // A later incarnation numbers its ends from 1 again.
-        worker->durable = number;
+        worker->durableUpTo = number;
         if (worker->ackDueBy == 0)
             worker->ackDueBy = now + maxAckDelay;
     }
@@ -191,8 +191,8 @@
     ++placedRun.startsSent;
     worker.lastStartAt = now;
     this->grantLease(worker, now);
-    const std::string* ticket = this->ticketFor(unit.key, worker.seen.incarnation, now);
-    this->startOrders.push_back({ worker.seen.incarnation, worker.seen.address, placedRun.run, this->jobs.at(placedRun.run.task.job).text, unit.checkpoint, ticket ? *ticket : "", now });
+    const std::string* ticket = this->ticketFor(unit.key, worker.description.incarnation, now);
+    this->startOrders.push_back({ worker.description.incarnation, worker.description.address, placedRun.run, this->jobs.at(placedRun.run.task.job).text, unit.checkpoint, ticket ? *ticket : "", now });
 }
 
 // Whether a stop was answered before the run was confirmed as started, and no poll has shown the
@@ -200,22 +200,22 @@
 // answer would require a still later poll.
 bool TaskPlanner::isStoppedBeforeStart(const Worker& worker, const PlacedRun& placedRun)
 {
-    return placedRun.phase == RunPhase::Starting && placedRun.stopAnsweredAt > 0 && placedRun.stopAnsweredAt >= worker.incarnationShownAt;
+    return placedRun.phase == RunPhase::Starting && placedRun.startRuledOutAt > 0 && placedRun.startRuledOutAt >= worker.incarnationConfirmedAt;
 }
 
 void TaskPlanner::makeStops(Millis now, Orders& orders)
 {
     for (auto& [id, worker] : this->workers) {
-        if (worker.seen.address.empty())
+        if (worker.description.address.empty())
             continue;
         for (auto& [run, placedRun] : worker.placedRuns) {
-            if (!placedRun.stopWanted || placedRun.phase == RunPhase::Recording || placedRun.stopUnderWay)
+            if (!placedRun.stopRequested || placedRun.phase == RunPhase::Recording || placedRun.stopInFlight)
                 continue;
             if (now < placedRun.nextStopAt || isStoppedBeforeStart(worker, placedRun))
                 continue;
-            placedRun.stopUnderWay = true;
+            placedRun.stopInFlight = true;
             placedRun.nextStopAt = now + stopRetryInterval + this->options.stopTimeout;
-            orders.stops.push_back({ worker.seen.incarnation, worker.seen.address, run });
+            orders.stops.push_back({ worker.description.incarnation, worker.description.address, run });
         }
     }
 }
--- a/src/tasks/task_planner_polls.cc
+++ b/src/tasks/task_planner_polls.cc
@@ -29,12 +29,12 @@
 // the run cannot start any more.
 bool TaskPlanner::isEndExpected(const Worker& worker)
 {
-    return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) { return row.second.stopAnsweredAt > 0 && row.second.stopAnsweredAt >= worker.pollSentAt; });
+    return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) { return row.second.startRuledOutAt > 0 && row.second.startRuledOutAt >= worker.pollSentAt; });
 }
 
 bool TaskPlanner::isLeaseHalfOver(const Worker& worker, Millis now) const
 {
-    return worker.known && worker.isLive() && now + this->options.maxLease / 2 >= worker.leaseOverBy;
+    return worker.hasAnswered && worker.needsLease() && now + this->options.maxLease / 2 >= worker.leaseEndsBy;
 }
 
 // Whether a poll is needed that does not wait for the pending one. The next poll settles a start
@@ -42,48 +42,48 @@
 // delay the task.
 bool TaskPlanner::isConcurrentPollDue(const Worker& worker, Millis now) const
 {
-    if (worker.quickPollUnderWay)
+    if (worker.quickPollInFlight)
         return false;
-    if (worker.known && !worker.silent && this->isInDoubtedDomain(worker, now))
+    if (worker.hasAnswered && !worker.silent && this->isInDoubtedDomain(worker, now))
         return true;
-    if (!worker.pollUnderWay)
+    if (!worker.pollInFlight)
         return false;
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) {
         const PlacedRun& placedRun = row.second;
-        const bool awaitsSettling = placedRun.phase == RunPhase::Starting && placedRun.stopAnsweredAt > 0 && placedRun.stopAnsweredAt >= worker.pollSentAt;
+        const bool awaitsSettling = placedRun.phase == RunPhase::Starting && placedRun.startRuledOutAt > 0 && placedRun.startRuledOutAt >= worker.pollSentAt;
         return awaitsSettling || (!worker.silent && this->isSurvivalCheckDue(placedRun, now));
     });
 }
 
 bool TaskPlanner::isPollDue(const Worker& worker, Millis now) const
 {
-    if (worker.pollUnderWay || now < worker.nextPollAt)
+    if (worker.pollInFlight || now < worker.nextPollAt)
         return false;
-    const bool calm = worker.known && !worker.silent;
-    const bool ackDue = worker.durable > worker.acknowledged && worker.ackDueBy > 0 && now >= worker.ackDueBy;
-    if (calm && !worker.isLive() && !ackDue)
+    const bool calm = worker.hasAnswered && !worker.silent;
+    const bool ackDue = worker.durableUpTo > worker.acknowledgedUpTo && worker.ackDueBy > 0 && now >= worker.ackDueBy;
+    if (calm && !worker.needsLease() && !ackDue)
         return false;
     // The worker would immediately answer again with an end that is not durable yet.
-    return !calm || worker.handled <= worker.durable || now + this->options.maxLease / 2 >= worker.leaseOverBy;
+    return !calm || worker.handledUpTo <= worker.durableUpTo || now + this->options.maxLease / 2 >= worker.leaseEndsBy;
 }
 
 // Does not renew a lease that has expired: the poll then only requests the state of the runs.
 void TaskPlanner::addPoll(Worker& worker, Millis now, Orders& orders) const
 {
-    const bool renewsLease = worker.known && !worker.silent && worker.isLive() && now < worker.leaseOverBy;
-    worker.pollUnderWay = true;
+    const bool renewsLease = worker.hasAnswered && !worker.silent && worker.needsLease() && now < worker.leaseEndsBy;
+    worker.pollInFlight = true;
     worker.pollSentAt = now;
-    worker.ackUnderWay = worker.isIncarnationProven() ? worker.durable : 0;
+    worker.ackInFlight = worker.isIncarnationProven() ? worker.durableUpTo : 0;
     worker.ackDueBy = 0;
     if (renewsLease)
         this->grantLease(worker, now);
-    orders.polls.push_back({ worker.seen.incarnation, worker.seen.address, worker.ackUnderWay, renewsLease ? longPollWait : 0, renewsLease });
+    orders.polls.push_back({ worker.description.incarnation, worker.description.address, worker.ackInFlight, renewsLease ? longPollWait : 0, renewsLease });
 }
 
 void TaskPlanner::addConcurrentPoll(Worker& worker, Orders& orders)
 {
-    worker.quickPollUnderWay = true;
-    orders.polls.push_back({ worker.seen.incarnation, worker.seen.address, 0, 0, false, true });
+    worker.quickPollInFlight = true;
+    orders.polls.push_back({ worker.description.incarnation, worker.description.address, 0, 0, false, true });
 }
 
 void TaskPlanner::makePolls(Millis now, Orders& orders)
@@ -93,7 +93,7 @@
     const bool canPollIdle = hasWaitingUnits || now >= this->nextIdlePollsAt;
     std::size_t idle = 0;
     for (const auto& [id, worker] : this->workers) {
-        if (worker.seen.address.empty() || (!worker.listed && worker.placedRuns.empty()))
+        if (worker.description.address.empty() || (!worker.listed && worker.placedRuns.empty()))
             continue; // The address of a worker known only from a record comes with the list of workers.
         if (this->isConcurrentPollDue(worker, now))
             this->duePolls.push_back({ this->isEndExpected(worker) ? now - endExpectedLead : now, id, true });
--- a/src/tasks/task_planner_reports.cc
+++ b/src/tasks/task_planner_reports.cc
@@ -45,10 +45,10 @@
     if (!candidate.queueKey.guaranteed || now - std::max(unit.waitingSince, unit.waitReportedAt) < guaranteeWaitReportInterval)
         return;
     unit.waitReportedAt = now;
-    const Snapshot::Offered offered = snapshot.offered(request);
+    const Snapshot::AvailableMembers offered = snapshot.countAvailableMembers(request);
     this->emit(PlanEventKind::GuaranteeWaits, unit.key, unit.run, "",
         fmt::format("for {} ms, {} members of {} accelerators, room for {} now and {} after stops, {} workers of {} take work, {}", now - unit.waitingSince, request.members,
-            request.each.accelerators, offered.now, offered.afterStops, snapshot.workers.size(), this->workers.size(), this->pendingStopsText(now)));
+            request.perMember.accelerators, offered.startable, offered.afterStops, snapshot.workers.size(), this->workers.size(), this->pendingStopsText(now)));
 }
 
 // Searches all waiting units, not only the candidates of the round, so that a unit that no round
@@ -69,8 +69,8 @@
     const std::string& service = oldest->job->terms.service;
     std::string room = "no picture of its service";
     if (const auto snapshot = snapshots.find(service); snapshot != snapshots.end()) {
-        const Snapshot::Offered offered = snapshot->second.offered(this->requestOf(*oldest));
-        room = fmt::format("room for {} of {} members, {} unreserved, {} now", offered.free, oldest->members(), offered.unreserved, offered.now);
+        const Snapshot::AvailableMembers offered = snapshot->second.countAvailableMembers(this->requestOf(*oldest));
+        room = fmt::format("room for {} of {} members, {} unreserved, {} now", offered.free, oldest->members(), offered.unreserved, offered.startable);
     }
     const Millis recording = this->isBatchPending ? now - this->batchCreatedAt : 0;
     this->emit(PlanEventKind::WorkWaits, oldest->key, oldest->run, "",
@@ -82,7 +82,7 @@
 {
     AvailabilityCounts workerCounts;
     for (const auto& [id, worker] : this->workers) {
-        if (worker.seen.service == service)
+        if (worker.description.service == service)
             workerCounts.add(this->availabilityOf(worker, now));
     }
     return textOf(workerCounts);
@@ -96,10 +96,10 @@
     Millis maxWaited = 0;
     std::int64_t unrecorded = 0;
     for (const auto& [id, worker] : this->workers) {
-        unrecorded += worker.handled > worker.durable ? 1 : 0;
+        unrecorded += worker.handledUpTo > worker.durableUpTo ? 1 : 0;
         // An idle worker is not polled, so time before its last start does not count.
         const Millis waited = now - std::max({ worker.nextPollAt, worker.lastStartAt, this->termStartedAt });
-        if (worker.pollUnderWay || !worker.isLive() || waited < overduePollThreshold)
+        if (worker.pollInFlight || !worker.needsLease() || waited < overduePollThreshold)
             continue;
         ++overdue;
         maxWaited = std::max(maxWaited, waited);
@@ -116,10 +116,10 @@
     std::string_view worker;
     for (const auto& [id, state] : this->workers) {
         for (const auto& [run, placedRun] : state.placedRuns) {
-            if (!placedRun.stopWanted)
+            if (!placedRun.stopRequested)
                 continue;
             ++count;
-            if (oldest && oldest->stopWantedAt <= placedRun.stopWantedAt)
+            if (oldest && oldest->stopRequestedAt <= placedRun.stopRequestedAt)
                 continue;
             oldest = &placedRun;
             worker = id;
@@ -129,7 +129,7 @@
         return "no stops under way";
     const TaskRef& task = oldest->run.task;
     return fmt::format("{} stops under way, the oldest of {}.{}.{}.{} run {} at {} for {} ms, {}", count, task.job, task.occurrence, task.step, task.index, oldest->run.run, worker,
-        now - oldest->stopWantedAt, oldest->stopAnsweredAt > 0 ? "answered" : "not answered");
+        now - oldest->stopRequestedAt, oldest->startRuledOutAt > 0 ? "answered" : "not answered");
 }
 
 } // namespace rattan::tasks
--- a/src/tasks/task_planner_rounds.cc
+++ b/src/tasks/task_planner_rounds.cc
@@ -37,7 +37,7 @@
     this->round = { .kind = kind };
     if (kind == RoundKind::None)
         return;
-    this->pacer.begun(kind, now);
+    this->pacer.roundStarted(kind, now);
     this->stopStalledUnits(now);
     this->evacuateLeavingWorkers(now);
     this->markGuaranteedJobs();
@@ -59,7 +59,7 @@
     if (this->nextIdlePollsAt > now)
         next = std::min(next, this->nextIdlePollsAt);
     for (const auto& [id, worker] : this->workers) {
-        if (!worker.pollUnderWay && worker.nextPollAt > now)
+        if (!worker.pollInFlight && worker.nextPollAt > now)
             next = std::min(next, worker.nextPollAt);
         if (worker.ackDueBy > now)
             next = std::min(next, worker.ackDueBy);
@@ -69,8 +69,8 @@
 
 Millis TaskPlanner::expectedRunTime(const Unit& unit) const
 {
-    const Millis expectedWork = this->runTimes.expect(unit.job->terms.queue, unit.step().estimate).work;
-    return std::max<Millis>(static_cast<Millis>(static_cast<double>(expectedWork) * (1 - unit.saved)), 1);
+    const Millis expectedWork = this->runTimes.forecast(unit.job->terms.queue, unit.step().estimate).work;
+    return std::max<Millis>(static_cast<Millis>(static_cast<double>(expectedWork) * (1 - unit.checkpointProgress)), 1);
 }
 
 Millis TaskPlanner::expectedEnd(const Unit& unit, Millis now) const
@@ -81,10 +81,10 @@
         return now + this->expectedRunTime(unit);
     const double done = unit.progress - unit.progressAtStart;
     constexpr double minMeasuredProgress = 0.1;
-    if (done < minMeasuredProgress || unit.heardAt <= unit.startedAt)
+    if (done < minMeasuredProgress || unit.lastReportAt <= unit.startedAt)
         return std::max(now, unit.startedAt + this->expectedRunTime(unit));
-    const double progressPerMs = done / static_cast<double>(unit.heardAt - unit.startedAt);
-    return std::max(now, unit.heardAt + static_cast<Millis>((1 - unit.progress) / progressPerMs));
+    const double progressPerMs = done / static_cast<double>(unit.lastReportAt - unit.startedAt);
+    return std::max(now, unit.lastReportAt + static_cast<Millis>((1 - unit.progress) / progressPerMs));
 }
 
 // The worker of the member with the least progress, or null if several workers are tied.
@@ -115,15 +115,15 @@
         if (unit.state != UnitState::Running || unit.stopping || unit.startedAt == 0 || unit.step().longRunning)
             continue;
         const auto limit = std::max(minStallTime, static_cast<Millis>(static_cast<double>(this->expectedRunTime(unit)) * stallFraction));
-        if (unit.heardAt - unit.movedAt >= limit)
+        if (unit.lastReportAt - unit.lastProgressAt >= limit)
             stalled.push_back(key);
     }
     for (const UnitKey& key : stalled) {
         Unit& unit = this->units.at(key);
         this->emit(PlanEventKind::UnitStalled, key, unit.run, unit.workers.front().id, fmt::format("at {}%", static_cast<int>(unit.progress * 100)));
         if (Worker* worker = this->slowestWorker(unit)) {
-            unit.avoid.push_back(worker->seen.incarnation.id);
-            worker->trust.stalled(now);
+            unit.excludedWorkers.push_back(worker->description.incarnation.id);
+            worker->health.runStalled(now);
         }
         this->stopUnit(unit, now);
     }
@@ -135,10 +135,10 @@
 {
     std::vector<UnitKey> unitsToMove;
     for (const auto& [id, worker] : this->workers) {
-        if (!worker.seen.leaving)
+        if (!worker.description.leaving)
             continue;
         for (const auto& [run, placedRun] : worker.placedRuns) {
-            const Unit* unit = placedRun.stray || placedRun.stopWanted ? nullptr : this->find(placedRun.unit);
+            const Unit* unit = placedRun.orphaned || placedRun.stopRequested ? nullptr : this->find(placedRun.unit);
             if (unit && this->expectedEnd(*unit, now) > worker.leavesAt - leaveMargin)
                 unitsToMove.push_back(placedRun.unit);
         }
@@ -163,8 +163,8 @@
     std::map<std::string, std::int64_t> used;
     for (ActiveJob* active : urgent) {
         std::int64_t& sum = used[active->job->workspace];
-        sum += acceleratorsOf(*active->job);
-        active->guaranteed = sum <= this->catalog->guaranteeOf(active->job->workspace);
+        sum += peakAcceleratorsOf(*active->job);
+        active->guaranteed = sum <= this->catalog->guaranteedAcceleratorsOf(active->job->workspace);
     }
 }
 
@@ -177,7 +177,7 @@
     double present = 0;
     for (const auto& [key, unit] : this->units) {
         if (unit.job->terms.priority == 0 && unit.job->terms.service == service)
-            present += static_cast<double>(unit.members() * unit.step().each.accelerators);
+            present += static_cast<double>(unit.members() * unit.step().perTask.accelerators);
     }
     DecayingDemand& demanded = this->recentUrgentDemand[service];
     const double decayed = demanded.accelerators * std::exp2(-static_cast<double>(now - demanded.at) / demandHalfLife);
@@ -187,13 +187,13 @@
 
 Allocation TaskPlanner::allocationOf(const PlacedRun& placedRun, Millis now) const
 {
-    Allocation allocation { .unit = nullptr, .room = placedRun.room, .endsAt = now + this->options.stopTimeout, .ending = placedRun.stray || placedRun.stopWanted };
+    Allocation allocation { .unit = nullptr, .resources = placedRun.resources, .expectedEnd = now + this->options.stopTimeout, .stopping = placedRun.orphaned || placedRun.stopRequested };
     const auto found = this->units.find(placedRun.unit);
-    if (allocation.ending || found == this->units.end())
+    if (allocation.stopping || found == this->units.end())
         return allocation;
     const Unit& unit = found->second;
     allocation.unit = &found->first;
-    allocation.endsAt = this->expectedEnd(unit, now);
+    allocation.expectedEnd = this->expectedEnd(unit, now);
     allocation.lostWork = this->evictionCost(unit, now);
     allocation.priority = unit.job->terms.priority;
     allocation.guaranteed = this->jobs.at(unit.key.job).guaranteed;
@@ -206,7 +206,7 @@
 {
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) {
         const PlacedRun& placedRun = row.second;
-        return placedRun.phase != RunPhase::Running || placedRun.confirmedAt >= worker.trust.distrustedUntil();
+        return placedRun.phase != RunPhase::Running || placedRun.confirmedAt >= worker.health.quarantinedUntil();
     });
 }
 
@@ -214,17 +214,17 @@
 {
     if (!worker.listed)
         return WorkerAvailability::Unlisted;
-    if (worker.seen.leaving)
+    if (worker.description.leaving)
         return WorkerAvailability::Leaving;
     if (worker.silent)
         return WorkerAvailability::Silent;
-    if (now < worker.takesNothingUntil)
+    if (now < worker.placementBlockedUntil)
         return WorkerAvailability::Resting;
     if (this->isInDoubtedDomain(worker, now))
         return WorkerAvailability::Doubted;
-    if (!worker.trust.takesWork(now, !hasTrialRun(worker)))
+    if (!worker.health.canTakeRun(now, !hasTrialRun(worker)))
         return WorkerAvailability::Distrusted;
-    return worker.known ? WorkerAvailability::Available : WorkerAvailability::NotPolled;
+    return worker.hasAnswered ? WorkerAvailability::Available : WorkerAvailability::NotPolled;
 }
 
 Snapshot TaskPlanner::makeSnapshot(const std::string& service, Millis now) const
@@ -232,26 +232,26 @@
     Snapshot snapshot;
     snapshot.now = now;
     for (const auto& [id, worker] : this->workers) {
-        const WorkerAvailability availability = worker.seen.service == service ? this->availabilityOf(worker, now) : WorkerAvailability::Unlisted;
+        const WorkerAvailability availability = worker.description.service == service ? this->availabilityOf(worker, now) : WorkerAvailability::Unlisted;
         if (availability != WorkerAvailability::Available && availability != WorkerAvailability::NotPolled)
             continue;
-        SnapshotWorker snapshotWorker { .id = id, .rack = worker.seen.rack, .labels = &worker.seen.labels, .capacity = worker.seen.capacity };
+        SnapshotWorker snapshotWorker { .id = id, .rack = worker.description.rack, .labels = &worker.description.labels, .capacity = worker.description.capacity };
         if (availability == WorkerAvailability::NotPolled) {
             if (worker.placedRuns.empty())
                 snapshot.unpolled.push_back(std::move(snapshotWorker));
             continue;
         }
         snapshotWorker.speed = this->workerSpeeds.of(id);
-        snapshotWorker.free = worker.seen.capacity;
+        snapshotWorker.free = worker.description.capacity;
         snapshotWorker.free -= worker.used;
-        snapshotWorker.afterStops = snapshotWorker.free;
-        snapshotWorker.oneMore = worker.trust.onTrial();
+        snapshotWorker.freeAfterStops = snapshotWorker.free;
+        snapshotWorker.isProbing = worker.health.isProbing();
         for (const auto& [run, placedRun] : worker.placedRuns) {
-            const bool ending = placedRun.stray || placedRun.stopWanted;
+            const bool ending = placedRun.orphaned || placedRun.stopRequested;
             if (ending)
-                snapshotWorker.afterStops += placedRun.room;
+                snapshotWorker.freeAfterStops += placedRun.resources;
             if (this->isolatedUnits.contains(placedRun.unit))
-                snapshotWorker.isolatedFor = placedRun.unit.job;
+                snapshotWorker.isolatedJob = placedRun.unit.job;
             snapshotWorker.allocations.push_back(this->allocationOf(placedRun, now));
         }
         snapshot.workers.push_back(std::move(snapshotWorker));
@@ -264,15 +264,15 @@
     const Step& step = unit.step();
     PlacementRequest request;
     request.members = unit.members();
-    request.each = step.each;
-    if (step.fills)
-        request.each.milliCores = 0;
+    request.perMember = step.perTask;
+    if (step.usesIdleCores)
+        request.perMember.milliCores = 0;
     request.label = step.label;
     request.rack = step.dataRack;
     request.sameRack = step.sameRack;
-    request.mostPerWorker = step.mostPerWorker;
-    request.avoid = &unit.avoid;
-    request.expected = this->expectedRunTime(unit);
+    request.maxPerWorker = step.maxPerWorker;
+    request.excludedWorkers = &unit.excludedWorkers;
+    request.expectedRunTime = this->expectedRunTime(unit);
     request.urgent = unit.job->terms.priority == 0;
     return request;
 }
@@ -288,21 +288,21 @@
         }
         // Units of one step without saved progress have equal rank, and there may be hundreds.
         const Candidate* previous = candidates.empty() ? nullptr : &candidates.back();
-        if (previous && unit.saved == 0 && previous->unit->saved == 0 && isSameStep(previous->unit->key, key)) {
-            candidates.push_back({ &unit, previous->queueKey, previous->waitedSince });
+        if (previous && unit.checkpointProgress == 0 && previous->unit->checkpointProgress == 0 && isSameStep(previous->unit->key, key)) {
+            candidates.push_back({ &unit, previous->queueKey, previous->waitingSince });
             continue;
         }
         const ActiveJob& active = this->jobs.at(key.job);
         const Job& job = *active.job;
-        Demand demand;
+        QueueKeyInputs demand;
         demand.guaranteed = active.guaranteed;
         demand.priority = job.terms.priority;
-        demand.waitedSince = now - (wall - (job.repeats > 0 ? job.dueAt(key.occurrence) : job.acceptedAt));
-        demand.expected = this->expectedRunTime(unit);
-        demand.chain = this->runTimes.expect(job.terms.queue, unit.step().estimate).work;
+        demand.waitingSince = now - (wall - (job.repeats > 0 ? job.dueAt(key.occurrence) : job.acceptedAt));
+        demand.remainingRunTime = this->expectedRunTime(unit);
+        demand.criticalPath = this->runTimes.forecast(job.terms.queue, unit.step().estimate).work;
         demand.stretch = job.terms.stretch;
-        demand.target = job.terms.latencyTarget;
-        candidates.push_back({ &unit, queueKeyOf(demand, now), demand.waitedSince });
+        demand.latencyTarget = job.terms.latencyTarget;
+        candidates.push_back({ &unit, queueKeyOf(demand, now), demand.waitingSince });
     }
     std::stable_sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) { return a.queueKey < b.queueKey; });
     return candidates;
@@ -341,54 +341,54 @@
         auto snapshot = snapshots.find(service);
         if (snapshot == snapshots.end()) {
             snapshot = snapshots.emplace(service, this->makeSnapshot(service, now)).first;
-            snapshot->second.keep(this->urgentDemand(service, now));
+            snapshot->second.reserveForUrgent(this->urgentDemand(service, now));
         }
         PlacementRequest request = this->requestOf(unit);
         std::set<std::string> isolation;
         if (unit.suspect && now - unit.waitingSince < maxIsolationWait) {
-            request.isolatedFor = unit.key.job;
+            request.isolatedJob = unit.key.job;
             isolation = this->isolatedWorkersOf(unit.key.job);
-            request.isolation = isolation.empty() ? nullptr : &isolation;
+            request.isolatedWorkers = isolation.empty() ? nullptr : &isolation;
         }
         std::set<std::string> allowed;
-        const bool hasPolicy = this->options.hasAdviceService && unit.job->terms.advice.valid > 0;
+        const bool hasPolicy = this->options.hasAdviceService && unit.job->terms.advice.ticketValidity > 0;
         if (hasPolicy) {
             allowed = this->allowedWorkers(this->adviceByStep[{ unit.key.job, unit.key.occurrence, unit.key.step }], snapshot->second, now);
-            request.allowed = &allowed;
+            request.allowedWorkers = &allowed;
         }
-        if (request.mostPerWorker > 0) {
+        if (request.maxPerWorker > 0) {
             if (!countedStep || !isSameStep(*countedStep, unit.key))
                 siblings = this->workersOfSiblings(unit.key);
             countedStep = &unit.key;
-            request.siblings = &siblings;
+            request.siblingCounts = &siblings;
         }
         unit.waitReason = WaitReason::NoAdvice;
         if (hasPolicy && !this->resolveAdvice(unit, snapshot->second, request, now))
             continue;
         // Drops rack preferences that no set of workers can satisfy.
-        if ((!request.rack.empty() || request.sameRack) && !snapshot->second.couldEverFit(request)) {
+        if ((!request.rack.empty() || request.sameRack) && !snapshot->second.fitsWhenEmpty(request)) {
             request.rack.clear();
             request.sameRack = false;
         }
-        bool couldFit = snapshot->second.couldEverFit(request);
+        bool couldFit = snapshot->second.fitsWhenEmpty(request);
         if (!couldFit) {
-            request.avoid = nullptr; // A worker on which it failed is better than none.
-            couldFit = !unit.avoid.empty() && snapshot->second.couldEverFit(request);
+            request.excludedWorkers = nullptr; // A worker on which it failed is better than none.
+            couldFit = !unit.excludedWorkers.empty() && snapshot->second.fitsWhenEmpty(request);
         }
-        const bool plain = request.isolatedFor.empty() && request.mostPerWorker == 0 && unit.avoid.empty() && !hasPolicy;
+        const bool plain = request.isolatedJob.empty() && request.maxPerWorker == 0 && unit.excludedWorkers.empty() && !hasPolicy;
         FailedRequests& failed = failedRequests[service];
-        const bool knownToFail = failed.cover(request);
+        const bool knownToFail = failed.covers(request);
         if (!knownToFail && this->tryPlace(candidate, snapshot->second, request, now)) {
-            if (request.siblings)
+            if (request.siblingCounts)
                 count(siblings, unit.workers);
             continue;
         }
         unit.waitReason = WaitReason::NoWorkerForIsolation;
-        if (!request.isolatedFor.empty())
+        if (!request.isolatedJob.empty())
             continue; // Isolation gets no eviction and no reservation, and does not block its siblings.
         // Eviction loses work. Idle workers that have not answered a planner which has just
         // taken over do so within a fraction of a second.
-        const bool hasUnpolledRoom = !snapshot->second.unpolled.empty() && snapshot->second.couldFitUnpolled(request);
+        const bool hasUnpolledRoom = !snapshot->second.unpolled.empty() && snapshot->second.fitsOnUnpolledWorkers(request);
         if (couldFit && !hasUnpolledRoom && evictionSearches < maxEvictionSearches && this->canEvict(candidate, now)) {
             ++evictionSearches;
             ++this->round.evictionSearches;
@@ -400,7 +400,7 @@
         }
         unit.waitReason = WaitReason::NoRoom;
         this->reportGuaranteeWait(candidate, snapshot->second, request, now);
-        if (unit.avoid.empty())
+        if (unit.excludedWorkers.empty())
             blockedStep = &unit.key;
         if (plain && !knownToFail)
             failed.add(request);
@@ -409,9 +409,9 @@
             snapshot->second.reserve(request);
         }
     }
-    if (this->round.kind == RoundKind::Whole && !this->hasDeferredAdvice)
+    if (this->round.kind == RoundKind::Full && !this->hasDeferredAdvice)
         ++this->advicePass;
-    if (this->round.kind == RoundKind::Whole)
+    if (this->round.kind == RoundKind::Full)
         this->reportOldestWait(candidates, snapshots, now);
 }
 
@@ -419,22 +419,22 @@
 {
     Unit& unit = *candidate.unit;
     ++this->round.searches;
-    if (const auto places = snapshot.findFreeAtPace(request)) {
+    if (const auto places = snapshot.findFreeBySpeed(request)) {
         std::vector<std::string> chosen;
         for (const std::size_t index : *places)
             chosen.push_back(snapshot.workers[index].id);
-        snapshot.take(request, *places);
+        snapshot.allocate(request, *places);
         const Step& step = unit.step();
-        unit.placedFar = (!step.dataRack.empty() && request.rack.empty()) || (step.sameRack && !request.sameRack);
+        unit.placedRemotely = (!step.dataRack.empty() && request.rack.empty()) || (step.sameRack && !request.sameRack);
         this->place(unit, chosen, now);
         ++this->round.placed;
         unit.waitReportedAt = 0;
-        if (!request.isolatedFor.empty())
+        if (!request.isolatedJob.empty())
             this->isolatedUnits.insert(unit.key);
         return true;
     }
     if (const auto places = snapshot.findAfterStops(request)) {
-        snapshot.promise(request, *places);
+        snapshot.allocateAfterStops(request, *places);
         unit.waitReason = WaitReason::AwaitsStops;
         this->reportGuaranteeWait(candidate, snapshot, request, now);
         return true;
@@ -446,26 +446,26 @@
 {
     ++unit.run;
     unit.state = UnitState::Running;
-    unit.left = static_cast<std::int64_t>(chosen.size());
-    unit.failed = false;
+    unit.membersLeft = static_cast<std::int64_t>(chosen.size());
+    unit.memberFailed = false;
     unit.stopping = false;
-    unit.refusal = EvictionRefusal::None;
+    unit.reportedRefusal = EvictionRefusal::None;
     unit.placedAt = now;
-    unit.adopted = false;
+    unit.inherited = false;
     unit.startedAt = 0;
-    unit.ranBefore.reset();
-    unit.progress = unit.saved;
-    unit.progressAtStart = unit.saved;
-    unit.movedAt = now;
-    unit.heardAt = 0;
+    unit.inheritedWork.reset();
+    unit.progress = unit.checkpointProgress;
+    unit.progressAtStart = unit.checkpointProgress;
+    unit.lastProgressAt = now;
+    unit.lastReportAt = 0;
     unit.workers.clear();
     this->dequeue(unit.key);
     for (std::size_t member = 0; member < chosen.size(); ++member) {
         Worker& worker = this->workers.at(chosen[member]);
-        unit.workers.push_back(worker.seen.incarnation);
+        unit.workers.push_back(worker.description.incarnation);
         PlacedRun placedRun { .run = { unit.task(static_cast<std::int64_t>(member)), unit.run }, .unit = unit.key };
-        placedRun.room = this->roomOf(placedRun.run.task);
-        worker.used += placedRun.room;
+        placedRun.resources = this->roomOf(placedRun.run.task);
+        worker.used += placedRun.resources;
         worker.placedRuns.emplace(placedRun.run, placedRun);
         this->startsToRecord.emplace_back(chosen[member], placedRun.run);
     }
--- a/src/tasks/task_planner_workers.cc
+++ b/src/tasks/task_planner_workers.cc
@@ -20,30 +20,30 @@
 void TaskPlanner::grantLease(Worker& worker, Millis now) const
 {
     const auto maxDuration = static_cast<Millis>(static_cast<double>(this->options.maxLease) * leaseClockFactor);
-    worker.leaseOverBy = std::max(worker.leaseOverBy, now + maxDuration + clockUncertainty);
+    worker.leaseEndsBy = std::max(worker.leaseEndsBy, now + maxDuration + clockUncertainty);
 }
 
-void TaskPlanner::workersListed(const std::vector<WorkerSighting>& sightings, Millis now)
+void TaskPlanner::workersListed(const std::vector<WorkerDescription>& sightings, Millis now)
 {
     std::set<std::string> listed;
-    for (const WorkerSighting& seen : sightings) {
+    for (const WorkerDescription& seen : sightings) {
         listed.insert(seen.incarnation.id);
         const auto [found, isNew] = this->workers.try_emplace(seen.incarnation.id);
         Worker& worker = found->second;
-        if (!isNew && worker.seen.incarnation.born > seen.incarnation.born)
+        if (!isNew && worker.description.incarnation.born > seen.incarnation.born)
             continue; // An entry of an incarnation that is known to have ended.
-        if (seen.leaving && !worker.seen.leaving)
+        if (seen.leaving && !worker.description.leaving)
             worker.leavesAt = now + seen.remaining;
-        if (worker.seen.leaving != seen.leaving || !worker.listed)
-            this->pacer.changed();
-        const Incarnation known = worker.seen.incarnation;
-        worker.seen = seen;
+        if (worker.description.leaving != seen.leaving || !worker.listed)
+            this->pacer.markChanged();
+        const Incarnation known = worker.description.incarnation;
+        worker.description = seen;
         worker.listed = true;
         // Only a poll can show which runs belong to the later incarnation: it may have executed a
         // start that was meant for the earlier one.
         if (!isNew && known.born < seen.incarnation.born) {
-            worker.seen.incarnation = known;
-            worker.known = false;
+            worker.description.incarnation = known;
+            worker.hasAnswered = false;
             worker.nextPollAt = std::min(worker.nextPollAt, now);
         }
     }
@@ -68,43 +68,43 @@
     Worker* worker = this->find(incarnation);
     if (!worker)
         return;
-    if (report.born < worker->seen.incarnation.born && report.born > 0)
+    if (report.born < worker->description.incarnation.born && report.born > 0)
         return this->pollFailed(incarnation, concurrent, WorkerFault::NoAnswer, now); // A poll of the current incarnation was answered first.
-    if (report.born > worker->seen.incarnation.born)
+    if (report.born > worker->description.incarnation.born)
         this->changeIncarnation(*worker, report, sentAt, concurrent, now);
-    if (!worker->known)
+    if (!worker->hasAnswered)
         this->emit(PlanEventKind::WorkerKnown, {}, 0, incarnation.id, fmt::format("{} runs, {} ends", report.running.size(), report.ended.size()));
-    (concurrent ? worker->quickPollUnderWay : worker->pollUnderWay) = false;
-    worker->known = true;
+    (concurrent ? worker->quickPollInFlight : worker->pollInFlight) = false;
+    worker->hasAnswered = true;
     worker->silent = false;
-    worker->heardAt = now;
-    worker->pollPause = 0;
+    worker->lastAnswerAt = now;
+    worker->pollBackoff = 0;
     worker->nextPollAt = now;
-    worker->incarnationShownAt = std::max(worker->incarnationShownAt, sentAt);
+    worker->incarnationConfirmedAt = std::max(worker->incarnationConfirmedAt, sentAt);
     if (!concurrent)
-        worker->acknowledged = std::max(worker->acknowledged, worker->ackUnderWay);
-    if (worker->acknowledged >= worker->durable)
+        worker->acknowledgedUpTo = std::max(worker->acknowledgedUpTo, worker->ackInFlight);
+    if (worker->acknowledgedUpTo >= worker->durableUpTo)
         worker->ackDueBy = 0;
-    this->pacer.changed();
+    this->pacer.markChanged();
     for (const EndedTask& end : report.ended)
         this->applyEndedTask(*worker, end, now);
     for (const RunningTask& running : report.running)
         this->applyRunningTask(*worker, running, now);
     this->removeUnlistedRuns(*worker, report, sentAt, now);
     // The runs are alive, so the lease was renewed later than this planner knew.
-    if (!report.running.empty() && now >= worker->leaseOverBy)
+    if (!report.running.empty() && now >= worker->leaseEndsBy)
         this->grantLease(*worker, now);
 }
 
 void TaskPlanner::markSilent(Worker& worker, Millis now)
 {
     worker.silent = true;
-    this->domainDoubts.wentSilent(worker.seen.domain, worker.seen.incarnation.id, now);
+    this->domainDoubts.addSilentWorker(worker.description.domain, worker.description.incarnation.id, now);
 }
 
 bool TaskPlanner::isInDoubtedDomain(const Worker& worker, Millis now) const
 {
-    return this->domainDoubts.covers(worker.seen.domain, worker.heardAt, now);
+    return this->domainDoubts.isSuspected(worker.description.domain, worker.lastAnswerAt, now);
 }
 
 void TaskPlanner::pollFailed(const Incarnation& incarnation, bool concurrent, WorkerFault fault, Millis now)
@@ -112,7 +112,7 @@
     Worker* worker = this->find(incarnation);
     if (!worker)
         return;
-    (concurrent ? worker->quickPollUnderWay : worker->pollUnderWay) = false;
+    (concurrent ? worker->quickPollInFlight : worker->pollInFlight) = false;
     if (fault == WorkerFault::Deposed) {
         this->isDeposed = true;
         return;
@@ -122,26 +122,26 @@
         worker->nextPollAt = now + maxPollBackoff;
         return;
     }
-    if (!concurrent && worker->ackUnderWay > 0 && fault == WorkerFault::NoAnswer)
-        worker->ackLostAt = now;
+    if (!concurrent && worker->ackInFlight > 0 && fault == WorkerFault::NoAnswer)
+        worker->ackUnansweredAt = now;
     if (!worker->silent)
         this->emit(PlanEventKind::WorkerSilent, {}, 0, incarnation.id, std::string(nameOf(fault)));
     this->markSilent(*worker, now);
-    worker->pollPause = std::clamp(worker->pollPause * 2, minPollBackoff, maxPollBackoff);
-    worker->nextPollAt = now + worker->pollPause;
+    worker->pollBackoff = std::clamp(worker->pollBackoff * 2, minPollBackoff, maxPollBackoff);
+    worker->nextPollAt = now + worker->pollBackoff;
 }
 
 void TaskPlanner::applyEndedTask(Worker& worker, const EndedTask& end, Millis now)
 {
-    if (end.number <= worker.handled)
+    if (end.number <= worker.handledUpTo)
         return;
-    worker.handled = end.number;
+    worker.handledUpTo = end.number;
     if (end.end == RunEnd::Done)
-        worker.trust.done();
+        worker.health.runSucceeded();
     if (end.end == RunEnd::Failed && worker.placedRuns.contains(end.run)) {
-        worker.trust.failed(now);
-        if (worker.trust.onTrial())
-            this->emit(PlanEventKind::WorkerDistrusted, {}, 0, worker.seen.incarnation.id, "runs fail one after the other");
+        worker.health.runFailed(now);
+        if (worker.health.isProbing())
+            this->emit(PlanEventKind::WorkerDistrusted, {}, 0, worker.description.incarnation.id, "runs fail one after the other");
     }
     if (worker.placedRuns.contains(end.run))
         this->removeMember(worker, end.run, end.end, end.checkpoint, now);
@@ -171,20 +171,20 @@
         // The run was considered lost, or its job is final: it only occupies resources until
         // it has been stopped.
         PlacedRun stray { .run = running.run, .unit = this->unitOf(running.run.task) };
-        stray.stray = true;
+        stray.orphaned = true;
         stray.phase = RunPhase::Running;
-        stray.wantStop(now);
-        stray.room = this->roomOf(running.run.task);
-        worker.used += stray.room;
+        stray.requestStop(now);
+        stray.resources = this->roomOf(running.run.task);
+        worker.used += stray.resources;
         worker.placedRuns.emplace(running.run, stray);
         return;
     }
     PlacedRun& placedRun = found->second;
     if (placedRun.phase != RunPhase::Running)
         this->confirmStart(placedRun, now);
-    const bool firstListed = placedRun.listedAt == 0;
-    placedRun.listedAt = now;
-    Unit* unit = placedRun.stray ? nullptr : this->find(placedRun.unit);
+    const bool firstListed = placedRun.lastListedAt == 0;
+    placedRun.lastListedAt = now;
+    Unit* unit = placedRun.orphaned ? nullptr : this->find(placedRun.unit);
     if (!unit || unit->run != running.run.run)
         return;
     unit->crashes.retract(running.run.run, running.run.task.index);
@@ -194,24 +194,24 @@
     if (unit->startedAt == 0) {
         unit->startedAt = now;
         unit->progressAtStart = progress;
-        unit->movedAt = now;
+        unit->lastProgressAt = now;
     }
-    if (unit->adopted && firstListed)
+    if (unit->inherited && firstListed)
         this->estimateInheritedRunTime(*unit, progress, now);
     // Members have unequal work, and a member that has finished its part waits for the others.
     // So progress of any member counts as progress of the unit.
     if (progress > placedRun.progress) {
         placedRun.progress = progress;
-        unit->movedAt = now;
+        unit->lastProgressAt = now;
         unit->progress = this->minMemberProgress(*unit);
-        if (unit->step().longRunning && progress >= 1 && placedRun.confirmedAt >= worker.trust.distrustedUntil())
-            worker.trust.done(); // A serving task has no end that would report its success.
+        if (unit->step().longRunning && progress >= 1 && placedRun.confirmedAt >= worker.health.quarantinedUntil())
+            worker.health.runSucceeded(); // A serving task has no end that would report its success.
     }
     if (!running.checkpoint.empty() && running.checkpoint != unit->checkpoint) {
         unit->checkpoint = running.checkpoint;
-        unit->saved = progress;
+        unit->checkpointProgress = progress;
     }
-    unit->heardAt = now;
+    unit->lastReportAt = now;
 }
 
 // The start time of a run that an earlier planner started is unknown, so its run time until now
@@ -219,9 +219,9 @@
 // with most work shows the run time, the others have progressed further in the same time.
 void TaskPlanner::estimateInheritedRunTime(Unit& unit, double progress, Millis now) const
 {
-    const Millis expectedWork = this->runTimes.expect(unit.job->terms.queue, unit.step().estimate).work;
+    const Millis expectedWork = this->runTimes.forecast(unit.job->terms.queue, unit.step().estimate).work;
     const Millis inheritedRunTime = static_cast<Millis>(static_cast<double>(expectedWork) * progress) - (now - unit.startedAt);
-    unit.ranBefore = std::min(unit.ranBefore.value_or(expectedWork), std::max<Millis>(inheritedRunTime, 0));
+    unit.inheritedWork = std::min(unit.inheritedWork.value_or(expectedWork), std::max<Millis>(inheritedRunTime, 0));
 }
 
 double TaskPlanner::minMemberProgress(const Unit& unit)
@@ -252,7 +252,7 @@
         if (placedRun.phase == RunPhase::Recording || listed.contains(run))
             continue;
         const bool ranBefore = placedRun.phase == RunPhase::Running && placedRun.confirmedAt < sentAt;
-        const bool canNeverStart = placedRun.inherited || (placedRun.stopAnsweredAt > 0 && placedRun.stopAnsweredAt < sentAt);
+        const bool canNeverStart = placedRun.inherited || (placedRun.startRuledOutAt > 0 && placedRun.startRuledOutAt < sentAt);
         if (ranBefore || canNeverStart)
             unlisted.push_back(run);
     }
@@ -270,20 +270,20 @@
     if (!worker || !worker->placedRuns.contains(run))
         return;
     PlacedRun& placedRun = worker->placedRuns.at(run);
-    Unit* unit = placedRun.stray ? nullptr : this->find(placedRun.unit);
-    this->pacer.changed();
+    Unit* unit = placedRun.orphaned ? nullptr : this->find(placedRun.unit);
+    this->pacer.markChanged();
     // The answer to a repeated start does not exclude that an earlier attempt is executed late.
-    if (placedRun.startLost && !settlesEarlierTries(answer))
+    if (placedRun.hasUnansweredStart && !settlesEarlierAttempts(answer))
         answer = StartAnswer::NoAnswer;
     const bool canSendAgain = unit && !unit->stopping && placedRun.startsSent < maxStartAttempts && isWithinCapacity(*worker);
     switch (answer) {
     case StartAnswer::Started:
         this->confirmStart(placedRun, now);
         worker->silent = false;
-        worker->heardAt = now;
+        worker->lastAnswerAt = now;
         if (unit && unit->startedAt == 0) {
             unit->startedAt = now;
-            unit->movedAt = now;
+            unit->lastProgressAt = now;
         }
         return;
     case StartAnswer::NoAnswer:
@@ -292,16 +292,16 @@
         rememberLostStart(*worker, placedRun, now);
         if (canSendAgain)
             return this->sendStart(*worker, placedRun, *unit, now);
-        placedRun.wantStop(now);
+        placedRun.requestStop(now);
         if (unit)
             this->stopUnit(*unit, now);
         return;
     case StartAnswer::OtherIncarnation:
         this->loseIncarnation(*worker, now, "another incarnation answers");
         return;
-    case StartAnswer::Old:
+    case StartAnswer::Superseded:
         // An earlier attempt may have started the run, which may have ended since. A poll shows it.
-        placedRun.stopAnsweredAt = now;
+        placedRun.startRuledOutAt = now;
         worker->nextPollAt = now;
         return;
     case StartAnswer::NotSent:
@@ -311,12 +311,12 @@
         if (canSendAgain && unit->members() > 1)
             return this->sendStart(*worker, placedRun, *unit, now);
         break;
-    case StartAnswer::NoTicket:
+    case StartAnswer::InvalidTicket:
         if (const auto known = this->adviceByStep.find({ run.task.job, run.task.occurrence, run.task.step }); known != this->adviceByStep.end())
             known->second.forget(incarnation);
         break;
-    case StartAnswer::Unwell:
-        worker->trust.failed(now);
+    case StartAnswer::Unavailable:
+        worker->health.runFailed(now);
         break;
     default:
         break;
@@ -332,15 +332,15 @@
     if (!worker || !worker->placedRuns.contains(run))
         return;
     PlacedRun& placedRun = worker->placedRuns.at(run);
-    placedRun.stopUnderWay = false;
+    placedRun.stopInFlight = false;
     if (accepted) {
-        placedRun.stopAnsweredAt = now;
-        worker->heardAt = now;
+        placedRun.startRuledOutAt = now;
+        worker->lastAnswerAt = now;
         return;
     }
     this->markSilent(*worker, now);
-    placedRun.stopPause = std::clamp(placedRun.stopPause * 2, minStopBackoff, stopRetryInterval);
-    placedRun.nextStopAt = now + placedRun.stopPause;
+    placedRun.stopBackoff = std::clamp(placedRun.stopBackoff * 2, minStopBackoff, stopRetryInterval);
+    placedRun.nextStopAt = now + placedRun.stopBackoff;
 }
 
 void TaskPlanner::stopUnit(Unit& unit, Millis now)
@@ -358,13 +358,13 @@
         if (!worker || !worker->placedRuns.contains(ref))
             continue;
         PlacedRun& placedRun = worker->placedRuns.at(ref);
-        placedRun.wantStop(now);
+        placedRun.requestStop(now);
         if (placedRun.phase == RunPhase::Recording)
             unsentRuns.emplace_back(worker, ref);
     }
     for (const auto& [worker, ref] : unsentRuns)
         this->removeMember(*worker, ref, std::nullopt, "", now);
-    this->pacer.changed();
+    this->pacer.markChanged();
 }
 
 void TaskPlanner::removeMember(Worker& worker, const RunRef& ref, std::optional<RunEnd> end, const std::string& checkpoint, Millis now)
@@ -374,10 +374,10 @@
     if (found == worker.placedRuns.end())
         return;
     const PlacedRun placedRun = found->second;
-    worker.used -= placedRun.room;
+    worker.used -= placedRun.resources;
     worker.placedRuns.erase(found);
-    this->pacer.changed();
-    Unit* unit = placedRun.stray ? nullptr : this->find(placedRun.unit);
+    this->pacer.markChanged();
+    Unit* unit = placedRun.orphaned ? nullptr : this->find(placedRun.unit);
     if (!unit || unit->run != run.run || unit->state != UnitState::Running)
         return;
     if (end == RunEnd::Done) {
@@ -386,29 +386,29 @@
     }
     if (!checkpoint.empty()) {
         unit->checkpoint = checkpoint;
-        unit->saved = std::max(unit->saved, unit->progress);
+        unit->checkpointProgress = std::max(unit->checkpointProgress, unit->progress);
     }
     if (end == RunEnd::Failed) {
-        unit->failed = true;
-        if (std::find(unit->avoid.begin(), unit->avoid.end(), worker.seen.incarnation.id) == unit->avoid.end())
-            unit->avoid.push_back(worker.seen.incarnation.id);
+        unit->memberFailed = true;
+        if (std::find(unit->excludedWorkers.begin(), unit->excludedWorkers.end(), worker.description.incarnation.id) == unit->excludedWorkers.end())
+            unit->excludedWorkers.push_back(worker.description.incarnation.id);
     }
-    --unit->left;
-    if (unit->left > 0 && !unit->stopping)
+    --unit->membersLeft;
+    if (unit->membersLeft > 0 && !unit->stopping)
         this->stopUnit(*unit, now);
     unit = this->find(placedRun.unit);
-    if (unit && unit->run == run.run && unit->state == UnitState::Running && unit->left == 0)
+    if (unit && unit->run == run.run && unit->state == UnitState::Running && unit->membersLeft == 0)
         this->requeueUnit(*unit, now);
 }
 
 void TaskPlanner::expireLeases(Millis now)
 {
     for (auto& [id, worker] : this->workers) {
-        if (worker.placedRuns.empty() || now < worker.leaseOverBy)
+        if (worker.placedRuns.empty() || now < worker.leaseEndsBy)
             continue;
         // The worker answers but was not polled in time. It is polled first, since a run that has
         // completed would run a second time if it were considered lost without reading its end.
-        if (worker.known && !worker.silent && worker.incarnationShownAt < worker.leaseOverBy) {
+        if (worker.hasAnswered && !worker.silent && worker.incarnationConfirmedAt < worker.leaseEndsBy) {
             worker.nextPollAt = std::min(worker.nextPollAt, now);
             continue;
         }
@@ -422,7 +422,7 @@
         this->emit(PlanEventKind::WorkerLapsed, {}, 0, id, fmt::format("{} runs, no answer for a whole lease", expired.size()));
         for (const RunRef& run : expired)
             this->loseRun(worker, run, RunLoss::LeaseOver, now);
-        worker.known = false; // A poll must show what runs there now.
+        worker.hasAnswered = false; // A poll must show what runs there now.
     }
 }
 
--- a/src/tasks/testing/fault_scenario.cc
+++ b/src/tasks/testing/fault_scenario.cc
@@ -89,7 +89,7 @@
     Job job;
     job.id = fmt::format("{:016x}", ++this->jobs);
     job.workspace = std::string(this->randomBelow(2) == 0 ? "a" : "b"); // GCC 12 gives a false warning if a one-letter literal is assigned.
-    job.terms = { .queue = fmt::format("q{}", priority), .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    job.terms = { .queue = fmt::format("q{}", priority), .service = "s", .priority = priority, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     return job;
 }
 
@@ -100,7 +100,7 @@
     for (std::int64_t i = 0; i < steps; ++i) {
         Step step;
         step.count = 1 + this->randomBelow(11);
-        step.each = { 1000 * (1 + this->randomBelow(30)), 1000 * (1 + this->randomBelow(100)), 1 + this->randomBelow(8) };
+        step.perTask = { 1000 * (1 + this->randomBelow(30)), 1000 * (1 + this->randomBelow(100)), 1 + this->randomBelow(8) };
         step.estimate = 1000 + this->randomBelow(5000);
         step.gang = this->randomBelow(40) == 0;
         step.savesProgress = this->randomBelow(3) == 0;
@@ -117,7 +117,7 @@
 {
     Job job = this->createJob(2);
     job.terms.stretch = 6;
-    job.steps.push_back({ .count = 78, .each = { 8000, 16000, 1 }, .estimate = 6000 + this->randomBelow(3000) });
+    job.steps.push_back({ .count = 78, .perTask = { 8000, 16000, 1 }, .estimate = 6000 + this->randomBelow(3000) });
     this->site.submit(job);
 }
 
--- a/src/tasks/testing/idle_capacity_test.cc
+++ b/src/tasks/testing/idle_capacity_test.cc
@@ -12,20 +12,20 @@
 
 namespace {
 
-Job createJob(const std::string& id, std::int64_t count, Room each, Millis estimate, std::int64_t priority = 1)
+Job createJob(const std::string& id, std::int64_t count, Resources each, Millis estimate, std::int64_t priority = 1)
 {
     Job result;
     result.id = id;
     result.workspace = "a";
-    result.terms = { .queue = "q", .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+    result.terms = { .queue = "q", .service = "s", .priority = priority, .maxAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     result.text = "work";
-    result.steps.push_back({ .count = count, .each = each, .estimate = estimate });
+    result.steps.push_back({ .count = count, .perTask = each, .estimate = estimate });
     return result;
 }
 
-constexpr Room wholeWorker { 10000, 10000, 8 };
-constexpr Room halfWorker { 10000, 10000, 4 };
-constexpr Room oneAccelerator { 10000, 10000, 1 };
+constexpr Resources wholeWorker { 10000, 10000, 8 };
+constexpr Resources halfWorker { 10000, 10000, 4 };
+constexpr Resources oneAccelerator { 10000, 10000, 1 };
 
 void assertNoViolations(const VirtualSite& site)
 {
--- a/src/tasks/testing/lost_work_detector.cc
+++ b/src/tasks/testing/lost_work_detector.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-    std::int64_t countFitting(const Room& free, const Room& each, std::int64_t maxCount)
+    std::int64_t countFitting(const Resources& free, const Resources& each, std::int64_t maxCount)
     {
         std::int64_t count = 0;
-        Room used = each;
-        while (count < maxCount && used.within(free)) {
+        Resources used = each;
+        while (count < maxCount && used.fitsIn(free)) {
             ++count;
             used += each;
         }
@@ -84,8 +84,8 @@
             continue;
         if (!step.dataRack.empty() && worker.rack != step.dataRack)
             continue;
-        const std::int64_t maxCount = step.mostPerWorker > 0 ? std::min(step.mostPerWorker, members * maxFits) : members * maxFits;
-        byRack[step.sameRack ? worker.rack : ""] += countFitting(worker.free, step.each, maxCount);
+        const std::int64_t maxCount = step.maxPerWorker > 0 ? std::min(step.maxPerWorker, members * maxFits) : members * maxFits;
+        byRack[step.sameRack ? worker.rack : ""] += countFitting(worker.free, step.perTask, maxCount);
     }
     std::int64_t fits = 0;
     for (const auto& [rack, count] : byRack)
--- a/src/tasks/testing/takeover_test.cc
+++ b/src/tasks/testing/takeover_test.cc
@@ -148,16 +148,16 @@
     }
 
 private:
-    static constexpr Room wholeWorker { 10000, 10000, 8 };
+    static constexpr Resources wholeWorker { 10000, 10000, 8 };
 
-    static Job createJob(const std::string& id, Room each, Millis estimate)
+    static Job createJob(const std::string& id, Resources each, Millis estimate)
     {
         Job result;
         result.id = id;
         result.workspace = "a";
-        result.terms = { .queue = "q", .service = "s", .priority = 2, .mostAttempts = 4, .stretch = 1, .latencyTarget = 1000 };
+        result.terms = { .queue = "q", .service = "s", .priority = 2, .maxAttempts = 4, .stretch = 1, .latencyTarget = 1000 };
         result.text = "work";
-        result.steps.push_back({ .count = 1, .each = each, .estimate = estimate });
+        result.steps.push_back({ .count = 1, .perTask = each, .estimate = estimate });
         return result;
     }
 
--- a/src/tasks/testing/virtual_site.cc
+++ b/src/tasks/testing/virtual_site.cc
@@ -30,7 +30,7 @@
 {
     job.acceptedAt = this->now;
     this->jobs[job.id] = job;
-    this->write(keyText({ RecordKind::Job, job.id }), encodeJob(job));
+    this->write(formatKey({ RecordKind::Job, job.id }), encodeJob(job));
     if (this->planner)
         this->planner->jobAccepted(this->table.find(job.id)->job, this->now, this->now);
 }
@@ -38,7 +38,7 @@
 void VirtualSite::cancel(const std::string& id)
 {
     this->cancelled.insert(id);
-    this->write(keyText({ RecordKind::Cancel, id }), encodeCancel());
+    this->write(formatKey({ RecordKind::Cancel, id }), encodeCancel());
     if (this->planner)
         this->planner->jobCancelled(id, this->now);
 }
@@ -74,7 +74,7 @@
 JobState VirtualSite::stateOf(const std::string& id) const
 {
     const JobEntry* entry = this->table.find(id);
-    return entry ? entry->shown() : JobState::Queued;
+    return entry ? entry->visibleState() : JobState::Queued;
 }
 
 std::int64_t VirtualSite::runsOf(const std::string& id) const
@@ -109,7 +109,7 @@
 void VirtualSite::answerAdvice(const AdviceOrder& order)
 {
     this->workersInAdviceRequests += static_cast<std::int64_t>(order.workers.size());
-    const Millis duration = order.terms.each + order.terms.perWorker * static_cast<Millis>(order.workers.size());
+    const Millis duration = order.terms.perRequest + order.terms.perWorker * static_cast<Millis>(order.workers.size());
     const bool isLost = this->randomShare() < this->options.lostAdvice;
     this->schedule(this->now + duration, [this, order, isLost, generation = this->plannerGeneration] {
         if (generation != this->plannerGeneration || !this->planner)
@@ -151,7 +151,7 @@
 {
     this->nextPlannerTurn = this->now + this->plannerInterval;
     this->planner->step(this->now, this->now);
-    if (this->planner->lastRound().kind == RoundKind::Whole)
+    if (this->planner->lastRound().kind == RoundKind::Full)
         this->planner->reportStepDuration(this->roundDuration, this->now + this->roundDuration);
     Orders orders = this->planner->takeOrders(this->now);
     this->planEvents.insert(this->planEvents.end(), orders.events.begin(), orders.events.end());
@@ -291,7 +291,7 @@
         [this, order, repeatDelay](const std::optional<StartAnswer>& answer) {
             const StartAnswer defaultAnswer = this->workers.at(order.worker.id).replaced ? StartAnswer::OtherIncarnation : StartAnswer::NoAnswer;
             const StartAnswer received = answer.value_or(defaultAnswer);
-            this->planner->startAnswered(order.worker, order.run, repeatDelay > 0 ? answerToRepeat(received) : received, this->now);
+            this->planner->startAnswered(order.worker, order.run, repeatDelay > 0 ? answerToRepeatedStart(received) : received, this->now);
         });
 }
 
--- a/src/tasks/testing/virtual_site.h
+++ b/src/tasks/testing/virtual_site.h
@@ -118,7 +118,7 @@
     std::int64_t crashCountOf(const std::string& job) const;
 
     // Changes the capacity of a worker; the list of workers shows it half a second later.
-    void resize(const std::string& id, Room capacity);
+    void resize(const std::string& id, Resources capacity);
 
     // Sets the time between turns of the planner, to simulate a machine with too little processor
     // time.
@@ -173,12 +173,12 @@
         Millis waitingSince { 0 };
         Millis stopsAt { 0 };
         bool willFail { false };
-        Room room;
+        Resources room;
     };
 
     struct Worker {
         Millis born { 1 };
-        Room capacity { 128000, 512000, 8 };
+        Resources capacity { 128000, 512000, 8 };
         std::string rack;
         std::int64_t highestTerm { 0 };
         std::map<RunRef, Run> running;
@@ -196,14 +196,14 @@
         bool crashed { false };
         bool replaced { false }; // Another worker has its address.
         bool listed { true };
-        std::vector<std::pair<Millis, Room>> formerCapacities; // With the time at which each was replaced.
+        std::vector<std::pair<Millis, Resources>> formerCapacities; // With the time at which each was replaced.
     };
 
     void addWorker(const std::string& id);
     void addWorker(const std::string& id, const std::string& rack);
     void dropRuns(Worker&, const std::string& id);
 
-    std::vector<WorkerSighting> sightings() const;
+    std::vector<WorkerDescription> sightings() const;
 
     void publishWorkers();
 
--- a/src/tasks/testing/virtual_site_lost_work.cc
+++ b/src/tasks/testing/virtual_site_lost_work.cc
@@ -39,7 +39,7 @@
     for (const auto& [id, worker] : this->workers) {
         if (!worker.listed || worker.crashed)
             continue;
-        Room free = worker.capacity;
+        Resources free = worker.capacity;
         for (const auto& [ref, run] : worker.running) {
             free -= run.room;
             view.running.insert(ref.task);
@@ -54,7 +54,7 @@
         // For jobs that also depend on advice or on a calendar, the site cannot determine whether
         // they should run.
         const bool isPending = !this->cancelled.contains(id) && !isFinal(this->stateOf(id)) && !this->hasExhaustedAttempts(id);
-        if (isPending && job.repeats == 0 && job.terms.advice.valid == 0)
+        if (isPending && job.repeats == 0 && job.terms.advice.ticketValidity == 0)
             view.jobs.push_back(&job);
     }
     view.isDone = [this](const TaskRef& task) { return this->done.contains(task); };
@@ -68,7 +68,7 @@
 
 bool VirtualSite::hasExhaustedAttempts(const std::string& id) const
 {
-    const std::int64_t maxAttempts = this->jobs.at(id).terms.mostAttempts;
+    const std::int64_t maxAttempts = this->jobs.at(id).terms.maxAttempts;
     for (auto next = this->failedRuns.lower_bound({ id, 0, 0, wholeGang }); next != this->failedRuns.end() && next->first.job == id; ++next) {
         if (static_cast<std::int64_t>(next->second.size()) >= maxAttempts)
             return true;
--- a/src/tasks/testing/virtual_site_workers.cc
+++ b/src/tasks/testing/virtual_site_workers.cc
@@ -100,7 +100,7 @@
     return found == this->crashes.end() ? 0 : found->second;
 }
 
-void VirtualSite::resize(const std::string& id, Room capacity)
+void VirtualSite::resize(const std::string& id, Resources capacity)
 {
     this->recordFault();
     Worker& worker = this->workers.at(id);
@@ -123,13 +123,13 @@
     this->workers.emplace(id, worker);
 }
 
-std::vector<WorkerSighting> VirtualSite::sightings() const
+std::vector<WorkerDescription> VirtualSite::sightings() const
 {
-    std::vector<WorkerSighting> result;
+    std::vector<WorkerDescription> result;
     for (const auto& [id, worker] : this->workers) {
         if (!worker.listed)
             continue;
-        WorkerSighting sighting;
+        WorkerDescription sighting;
         sighting.incarnation = { id, worker.born };
         sighting.address = id;
         sighting.service = std::string("s"); // GCC 12 gives a false warning if a one-letter literal is assigned.
@@ -157,16 +157,16 @@
         return StartAnswer::Deposed;
     worker.highestTerm = term;
     if (until <= this->now)
-        return StartAnswer::Late;
+        return StartAnswer::LeaseExpired;
     worker.leaseEnd = std::max(worker.leaseEnd, until);
     if (worker.running.contains(order.run))
         return StartAnswer::Started;
     if (worker.highestRefusedRuns[order.run.task] >= order.run.run)
-        return StartAnswer::Old;
+        return StartAnswer::Superseded;
     const TaskRef& task = order.run.task;
-    if (this->jobs.at(task.job).terms.advice.valid > 0 && order.ticket != this->ticketOf({ task.job, task.occurrence, task.step }, order.worker.id)) {
+    if (this->jobs.at(task.job).terms.advice.ticketValidity > 0 && order.ticket != this->ticketOf({ task.job, task.occurrence, task.step }, order.worker.id)) {
         ++this->startsWithoutTicket;
-        return StartAnswer::NoTicket;
+        return StartAnswer::InvalidTicket;
     }
     this->checkStart(order, worker);
     const Step& step = this->stepOf(order.run.task);
@@ -181,7 +181,7 @@
     run.checkpoint = order.checkpoint;
     run.gangSize = step.gang ? step.count : 1;
     run.waitingSince = this->now;
-    run.room = step.each;
+    run.room = step.perTask;
     run.willFail = worker.failsAll || this->randomShare() < this->options.failures;
     worker.running.emplace(order.run, run);
     const auto crashes = this->crashDelays.find(task.job);
@@ -216,7 +216,7 @@
                 this->reportViolation("before what it depends on", order);
         }
     }
-    if (static_cast<std::int64_t>(this->acknowledgedFailures[task].size()) >= job.terms.mostAttempts)
+    if (static_cast<std::int64_t>(this->acknowledgedFailures[task].size()) >= job.terms.maxAttempts)
         this->reportViolation("after its last attempt", order);
     constexpr std::int64_t crashLimit = 3;
     if (const auto crashed = this->crashes.find(task); crashed != this->crashes.end() && crashed->second >= crashLimit && ++this->startsAfterCrashes[task] >= crashLimit)
@@ -227,12 +227,12 @@
 void VirtualSite::checkCapacity(const StartOrder& order, const Worker& worker)
 {
     constexpr Millis maxListDelay = 4500;
-    Room used = this->stepOf(order.run.task).each;
+    Resources used = this->stepOf(order.run.task).perTask;
     for (const auto& [ref, run] : worker.running)
         used += run.room;
-    bool isAllowed = used.within(worker.capacity);
+    bool isAllowed = used.fitsIn(worker.capacity);
     for (const auto& [replacedAt, capacity] : worker.formerCapacities)
-        isAllowed = isAllowed || (this->now < replacedAt + maxListDelay && used.within(capacity));
+        isAllowed = isAllowed || (this->now < replacedAt + maxListDelay && used.fitsIn(capacity));
     if (!isAllowed)
         this->reportViolation("over room", order);
 }
@@ -245,7 +245,7 @@
             return;
     }
     for (const auto& [unit, runs] : this->failedRuns) {
-        if (unit.job == id && static_cast<std::int64_t>(runs.size()) >= this->jobs.at(id).terms.mostAttempts)
+        if (unit.job == id && static_cast<std::int64_t>(runs.size()) >= this->jobs.at(id).terms.maxAttempts)
             return;
     }
     this->violations.push_back(fmt::format("{} ms: failed without cause: {}", this->now, id));
@@ -318,7 +318,7 @@
     }
     for (auto& [ref, run] : worker.running) {
         if (worker.leaseEnd <= this->now) {
-            endedRuns.emplace_back(ref, RunEnd::Lapsed);
+            endedRuns.emplace_back(ref, RunEnd::LeaseExpired);
             continue;
         }
         if (run.stopsAt > 0 && this->now >= run.stopsAt) {
@@ -328,9 +328,9 @@
         }
         if (run.gangSize > 1 && this->countRunningMembers(ref) < run.gangSize) {
             if (this->endedGangs.contains({ ref.task.job, ref.task.occurrence, ref.task.step, ref.run }))
-                endedRuns.emplace_back(ref, this->endedGangs.at({ ref.task.job, ref.task.occurrence, ref.task.step, ref.run }) ? RunEnd::Done : RunEnd::Broken);
+                endedRuns.emplace_back(ref, this->endedGangs.at({ ref.task.job, ref.task.occurrence, ref.task.step, ref.run }) ? RunEnd::Done : RunEnd::GangMemberEnded);
             else if (this->now - run.waitingSince >= this->options.gangTimeout)
-                endedRuns.emplace_back(ref, RunEnd::Alone);
+                endedRuns.emplace_back(ref, RunEnd::GangIncomplete);
             continue;
         }
         if (worker.isStalled)
