--- a/src/tasks/testing/task_planner_polls_test.cc
+++ b/src/tasks/testing/task_planner_polls_test.cc
@@ -10,76 +10,76 @@
 
 namespace {
 
-Job job(const std::string& id, std::int64_t count, Room each, Millis time, std::int64_t priority = 1)
+Job makeJob(const std::string& id, std::int64_t count, Room each, Millis estimate, std::int64_t priority = 1)
 {
     Job result;
     result.id = id;
     result.workspace = "a";
     result.terms = { .queue = "q", .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     result.text = "work";
-    result.steps.push_back({ .count = count, .each = each, .estimate = time });
+    result.steps.push_back({ .count = count, .each = each, .estimate = estimate });
     return result;
 }
 
-constexpr Room whole { 10000, 10000, 8 };
-constexpr Room half { 10000, 10000, 4 };
-constexpr Room one { 10000, 50000, 1 };
+constexpr Room wholeWorker { 10000, 10000, 8 };
+constexpr Room halfWorker { 10000, 10000, 4 };
+constexpr Room oneAccelerator { 10000, 50000, 1 };
 
-void assertSound(const VirtualSite& site)
+void assertNoViolations(const VirtualSite& site)
 {
     CPPUNIT_ASSERT_MESSAGE(site.broken.empty() ? "" : site.broken.front(), site.broken.empty());
 }
 
 class TaskPlannerPollsTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TaskPlannerPollsTest);
-    CPPUNIT_TEST(noWorkerIsPassedOverWhereMorePollsAreDueThanAreSent);
-    CPPUNIT_TEST(idleWorkersAreNotPassedOverForBusyOnes);
-    CPPUNIT_TEST(runsOfAWorkerThatWasNotAskedAreNotGivenUpUnread);
-    CPPUNIT_TEST(anAcknowledgementUnderWayIsFearedAtTheNextIncarnation);
-    CPPUNIT_TEST(aLostAcknowledgementIsNotForgottenWithItsWorker);
+    CPPUNIT_TEST(noWorkerStarvesWhenPollsQueue);
+    CPPUNIT_TEST(busyWorkersDoNotStarveIdleOnes);
+    CPPUNIT_TEST(runsOfUnpolledWorkerAreNotConsideredLost);
+    CPPUNIT_TEST(pendingAcknowledgementDelaysNextIncarnation);
+    CPPUNIT_TEST(lostAcknowledgementIsRememberedForUnlistedWorker);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Guards against leases that run out at the workers that come last in some order.
-    void noWorkerIsPassedOverWhereMorePollsAreDueThanAreSent()
+    void noWorkerStarvesWhenPollsQueue()
     {
         VirtualSite site({ .seed = 35, .workers = 150, .failures = 0 });
         site.newPlanner();
         site.run(2000);
         site.planEvery(900);
-        site.submit(job("long", 150, half, 20000));
+        site.submit(makeJob("long", 150, halfWorker, 20000));
         for (int i = 0; i < 20; ++i)
-            site.submit(job("short" + std::to_string(i), 300, one, 1000));
+            site.submit(makeJob("short" + std::to_string(i), 300, oneAccelerator, 1000));
         site.runUntilOver(90000);
         CPPUNIT_ASSERT(site.allOver());
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.countEnds(RunEnd::Lapsed));
-        assertSound(site);
+        assertNoViolations(site);
     }
 
     // Guards against work that waits beside workers which nobody has asked since a takeover.
-    void idleWorkersAreNotPassedOverForBusyOnes()
+    void busyWorkersDoNotStarveIdleOnes()
     {
         constexpr std::size_t workers = 150;
         VirtualSite site({ .seed = 36, .workers = workers, .failures = 0 });
         site.newPlanner();
         site.run(2000);
-        site.submit(job("busy", 100, whole, 30000));
+        site.submit(makeJob("busy", 100, wholeWorker, 30000));
         site.run(6000);
         site.newPlanner();
         site.planEvery(250);
-        site.submit(job("waiting", 100, whole, 30000));
-        constexpr Millis soon = 4000;
-        site.run(site.now + soon);
+        site.submit(makeJob("waiting", 100, wholeWorker, 30000));
+        constexpr Millis pollingTime = 4000;
+        site.run(site.now + pollingTime);
         CPPUNIT_ASSERT_EQUAL(workers, site.planner->knownWorkerCount());
-        assertSound(site);
+        assertNoViolations(site);
     }
 
     // Guards against tasks that run twice because their planner had no time to read that they ended.
-    void runsOfAWorkerThatWasNotAskedAreNotGivenUpUnread()
+    void runsOfUnpolledWorkerAreNotConsideredLost()
     {
         VirtualSite site({ .seed = 37, .workers = 4, .failures = 0 });
         site.newPlanner();
-        site.submit(job("j1", 4, whole, 2000));
+        site.submit(makeJob("j1", 4, wholeWorker, 2000));
         site.run(2500);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 4 }, site.runsOf("j1"));
         site.holdPlanner(site.now + 9000);
@@ -87,12 +87,12 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 4 }, site.runsOf("j1"));
         for (const PlanEvent& event : site.planEvents)
             CPPUNIT_ASSERT(event.kind != PlanEventKind::RunLost);
-        assertSound(site);
+        assertNoViolations(site);
     }
 
     // Guards against ends of the next incarnation that a poll to the one before, still on its way
     // when another shows the restart, acknowledges unread: their tasks would run again.
-    void anAcknowledgementUnderWayIsFearedAtTheNextIncarnation()
+    void pendingAcknowledgementDelaysNextIncarnation()
     {
         this->submit("ended");
         this->submit("running");
@@ -103,47 +103,47 @@
         worker.service = "s";
         worker.capacity = { 128000, 512000, 8 };
         planner.workersListed({ worker }, this->now);
-        this->turn(planner);
+        this->takeTurns(planner);
         planner.pollAnswered(worker.incarnation, this->now, false, { .born = 1 }, this->now);
-        for (const StartOrder& start : this->turn(planner).starts)
+        for (const StartOrder& start : this->takeTurns(planner).starts)
             planner.startAnswered(worker.incarnation, start.run, StartAnswer::Started, this->now);
         const RunRef running { { "running", 0, 0, 0 }, 1 };
         const RunRef ended { { "ended", 0, 0, 0 }, 1 };
         planner.pollAnswered(worker.incarnation, this->now, false, { .born = 1, .running = { { running, "", 1 } }, .ended = { { 1, ended, RunEnd::Done, "" } } }, this->now);
 
         // The poll that acknowledges the end gets no answer while this test lasts.
-        bool acknowledges = false;
-        for (int i = 0; i < 100 && !acknowledges; ++i) {
-            for (const PollOrder& poll : this->turn(planner).polls) {
-                acknowledges = acknowledges || poll.acknowledged == 1;
+        bool isAcknowledging = false;
+        for (int i = 0; i < 100 && !isAcknowledging; ++i) {
+            for (const PollOrder& poll : this->takeTurns(planner).polls) {
+                isAcknowledging = isAcknowledging || poll.acknowledged == 1;
                 if (poll.acknowledged == 0)
                     planner.pollAnswered(worker.incarnation, this->now, poll.concurrent, { .born = 1, .running = { { running, "", 1 } } }, this->now);
             }
         }
-        CPPUNIT_ASSERT(acknowledges);
+        CPPUNIT_ASSERT(isAcknowledging);
 
         // A poll beside it goes for a start that was there before, and shows the restart.
         this->submit("next");
         planner.jobAccepted(this->table.find("next")->job, this->now, this->now);
-        bool shown = false;
-        bool startedAnew = false;
-        for (int i = 0; i < 100 && !startedAnew; ++i) {
-            const Orders orders = this->turn(planner);
-            startedAnew = shown && !orders.starts.empty();
+        bool restartShown = false;
+        bool startedOnNextIncarnation = false;
+        for (int i = 0; i < 100 && !startedOnNextIncarnation; ++i) {
+            const Orders orders = this->takeTurns(planner);
+            startedOnNextIncarnation = restartShown && !orders.starts.empty();
             for (const StartOrder& start : orders.starts)
                 planner.startAnswered(worker.incarnation, start.run, StartAnswer::Old, this->now);
             for (const PollOrder& poll : orders.polls) {
-                CPPUNIT_ASSERT(poll.concurrent || shown);
+                CPPUNIT_ASSERT(poll.concurrent || restartShown);
                 planner.pollAnswered(worker.incarnation, this->now, poll.concurrent, { .born = 2 }, this->now);
-                shown = true;
+                restartShown = true;
             }
         }
-        CPPUNIT_ASSERT(shown);
-        CPPUNIT_ASSERT(!startedAnew);
+        CPPUNIT_ASSERT(restartShown);
+        CPPUNIT_ASSERT(!startedOnNextIncarnation);
     }
 
     // Guards against the same where the worker has left the list in between, and comes back.
-    void aLostAcknowledgementIsNotForgottenWithItsWorker()
+    void lostAcknowledgementIsRememberedForUnlistedWorker()
     {
         this->submit("ended");
         TaskPlanner planner({}, this->table, PlanTable(), this->now, this->now);
@@ -153,21 +153,21 @@
         worker.service = "s";
         worker.capacity = { 128000, 512000, 8 };
         planner.workersListed({ worker }, this->now);
-        this->turn(planner);
+        this->takeTurns(planner);
         planner.pollAnswered(worker.incarnation, this->now, false, { .born = 1 }, this->now);
-        for (const StartOrder& start : this->turn(planner).starts)
+        for (const StartOrder& start : this->takeTurns(planner).starts)
             planner.startAnswered(worker.incarnation, start.run, StartAnswer::Started, this->now);
-        this->turn(planner);
+        this->takeTurns(planner);
         planner.pollAnswered(worker.incarnation, this->now, false, { .born = 1, .ended = { { 1, { { "ended", 0, 0, 0 }, 1 }, RunEnd::Done, "" } } }, this->now);
-        bool acknowledges = false;
-        for (int i = 0; i < 100 && !acknowledges; ++i) {
-            for (const PollOrder& poll : this->turn(planner).polls) {
-                acknowledges = acknowledges || poll.acknowledged == 1;
+        bool isAcknowledging = false;
+        for (int i = 0; i < 100 && !isAcknowledging; ++i) {
+            for (const PollOrder& poll : this->takeTurns(planner).polls) {
+                isAcknowledging = isAcknowledging || poll.acknowledged == 1;
                 if (poll.acknowledged == 0)
                     planner.pollAnswered(worker.incarnation, this->now, poll.concurrent, { .born = 1 }, this->now);
             }
         }
-        CPPUNIT_ASSERT(acknowledges);
+        CPPUNIT_ASSERT(isAcknowledging);
         planner.pollFailed(worker.incarnation, false, WorkerFault::NoAnswer, this->now);
 
         planner.workersListed({}, this->now);
@@ -175,39 +175,39 @@
         planner.workersListed({ worker }, this->now);
         this->submit("next");
         planner.jobAccepted(this->table.find("next")->job, this->now, this->now);
-        bool shown = false;
+        bool restartShown = false;
         for (int i = 0; i < 100; ++i) {
-            const Orders orders = this->turn(planner);
+            const Orders orders = this->takeTurns(planner);
             CPPUNIT_ASSERT(orders.starts.empty());
             for (const PollOrder& poll : orders.polls) {
                 planner.pollAnswered(worker.incarnation, this->now, poll.concurrent, { .born = 2 }, this->now);
-                shown = true;
+                restartShown = true;
             }
         }
-        CPPUNIT_ASSERT(shown);
+        CPPUNIT_ASSERT(restartShown);
     }
 
 private:
     void submit(const std::string& id)
     {
-        this->table.apply("job/" + id, encodeJob(job(id, 1, one, 5000)), this->offset++, this->now);
+        this->table.apply("job/" + id, encodeJob(makeJob(id, 1, oneAccelerator, 5000)), this->offset++, this->now);
     }
 
     // One turn, some time after the last; what it records is durable at once.
-    Orders turn(TaskPlanner& planner)
+    Orders takeTurns(TaskPlanner& planner)
     {
-        constexpr Millis gap = 20;
-        Orders all;
+        constexpr Millis turnInterval = 20;
+        Orders allOrders;
         for (int i = 0; i < 3; ++i) {
-            this->now += gap;
+            this->now += turnInterval;
             planner.step(this->now, this->now);
             Orders orders = planner.takeOrders(this->now);
             for (const RecordBatch& batch : orders.batches)
                 planner.batchRecorded(batch.number, this->now);
-            all.starts.insert(all.starts.end(), orders.starts.begin(), orders.starts.end());
-            all.polls.insert(all.polls.end(), orders.polls.begin(), orders.polls.end());
+            allOrders.starts.insert(allOrders.starts.end(), orders.starts.begin(), orders.starts.end());
+            allOrders.polls.insert(allOrders.polls.end(), orders.polls.begin(), orders.polls.end());
         }
-        return all;
+        return allOrders;
     }
 
     JobTable table;
--- a/src/tasks/testing/task_planner_random_test.cc
+++ b/src/tasks/testing/task_planner_random_test.cc
@@ -17,101 +17,101 @@
 
 namespace {
 
-constexpr std::uint64_t usualSeeds = 40;
+constexpr std::uint64_t defaultSeedCount = 40;
 
 // From this seed on, some queues have a policy.
-constexpr std::uint64_t firstWithPolicies = 1'000'000;
-constexpr std::uint64_t seedsWithPolicies = 10;
+constexpr std::uint64_t firstPolicySeed = 1'000'000;
+constexpr std::uint64_t policySeedCount = 10;
 
 // From this seed on, workers crash, some tasks crash their workers, and capacities change.
-constexpr std::uint64_t firstWithCrashes = 2'000'000;
-constexpr std::uint64_t seedsWithCrashes = 20;
+constexpr std::uint64_t firstCrashSeed = 2'000'000;
+constexpr std::uint64_t crashSeedCount = 20;
 
 // RATTAN_SEEDS=FIRST-LAST plays others.
-std::pair<std::uint64_t, std::uint64_t> seeds()
+std::pair<std::uint64_t, std::uint64_t> seedRange()
 {
     const char* text = std::getenv("RATTAN_SEEDS");
     unsigned long long first = 1;
-    unsigned long long last = usualSeeds;
+    unsigned long long last = defaultSeedCount;
     if (text)
         std::sscanf(text, "%llu-%llu", &first, &last);
     return { first, last };
 }
 
-class Course {
+class Simulation {
 public:
-    explicit Course(std::uint64_t seed)
+    explicit Simulation(std::uint64_t seed)
         : site({ .seed = seed, .lostOrders = 0.02, .lostAnswers = 0.02, .lateOrders = 0.02, .failures = 0.03, .lostAdvice = 0.1 })
         , random(seed * 7919)
-        , hasPolicies(seed >= firstWithPolicies && seed < firstWithCrashes)
-        , hasCrashes(seed >= firstWithCrashes)
+        , hasPolicies(seed >= firstPolicySeed && seed < firstCrashSeed)
+        , hasCrashes(seed >= firstCrashSeed)
     {
     }
 
-    void play()
+    void simulate()
     {
         this->site.newPlanner();
-        while (this->site.now < trafficEnds) {
-            this->disturb();
-            this->arrive();
-            this->site.run(this->site.now + this->below(400) + 50);
+        while (this->site.now < loadEnd) {
+            this->injectFault();
+            this->submitRandomJob();
+            this->site.run(this->site.now + this->randomBelow(400) + 50);
         }
-        this->calm();
-        const bool over = this->site.runUntilOver(this->site.now + 180000);
-        if (!over)
+        this->endFaults();
+        const bool allOver = this->site.runUntilOver(this->site.now + 180000);
+        if (!allOver)
             this->site.broken.emplace_back("jobs that never end");
     }
 
     VirtualSite site;
 
 private:
-    static constexpr Millis trafficEnds = 25000;
+    static constexpr Millis loadEnd = 25000;
 
-    Millis below(Millis bound) { return static_cast<Millis>(this->random() % static_cast<std::uint64_t>(bound)); }
+    Millis randomBelow(Millis bound) { return static_cast<Millis>(this->random() % static_cast<std::uint64_t>(bound)); }
 
-    std::string worker() { return fmt::format("w{:02}", this->below(12)); }
+    std::string randomWorker() { return fmt::format("w{:02}", this->randomBelow(12)); }
 
-    void arrive()
+    void submitRandomJob()
     {
-        Job job;
-        job.id = fmt::format("{:016x}", ++this->jobs);
-        job.workspace = std::string(this->below(2) == 0 ? "a" : "b"); // GCC 12 warns wrongly where a literal of one letter is assigned.
-        const std::int64_t priority = this->below(3);
-        job.terms = { .queue = fmt::format("q{}", priority), .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
-        if (this->hasPolicies && this->below(3) == 0)
-            job.terms.advice = { 20, 3, 2000 + this->below(8000) };
-        const std::int64_t steps = 1 + this->below(2);
+        Job newJob;
+        newJob.id = fmt::format("{:016x}", ++this->submittedJobs);
+        newJob.workspace = std::string(this->randomBelow(2) == 0 ? "a" : "b"); // GCC 12 warns wrongly where a literal of one letter is assigned.
+        const std::int64_t priority = this->randomBelow(3);
+        newJob.terms = { .queue = fmt::format("q{}", priority), .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
+        if (this->hasPolicies && this->randomBelow(3) == 0)
+            newJob.terms.advice = { 20, 3, 2000 + this->randomBelow(8000) };
+        const std::int64_t steps = 1 + this->randomBelow(2);
         for (std::int64_t i = 0; i < steps; ++i) {
             Step step;
-            step.count = 1 + this->below(5);
-            step.each = { 1000 * (1 + this->below(40)), 1000 * (1 + this->below(200)), 1 + this->below(8) };
-            step.estimate = 300 + this->below(4000);
-            step.gang = this->below(2) == 0;
-            step.sameRack = this->below(3) == 0;
-            step.savesProgress = this->below(3) == 0;
-            if (this->below(8) == 0)
+            step.count = 1 + this->randomBelow(5);
+            step.each = { 1000 * (1 + this->randomBelow(40)), 1000 * (1 + this->randomBelow(200)), 1 + this->randomBelow(8) };
+            step.estimate = 300 + this->randomBelow(4000);
+            step.gang = this->randomBelow(2) == 0;
+            step.sameRack = this->randomBelow(3) == 0;
+            step.savesProgress = this->randomBelow(3) == 0;
+            if (this->randomBelow(8) == 0)
                 step.mostPerWorker = 1;
             if (i > 0)
                 step.dependsOn.push_back(i - 1);
-            job.steps.push_back(step);
+            newJob.steps.push_back(step);
         }
-        if (this->hasCrashes && this->below(10) == 0)
-            this->site.crashesWorkers(job.id, 10 + this->below(3) * 600);
-        this->site.submit(job);
-        if (this->below(12) == 0)
-            this->site.cancel(job.id);
+        if (this->hasCrashes && this->randomBelow(10) == 0)
+            this->site.crashesWorkers(newJob.id, 10 + this->randomBelow(3) * 600);
+        this->site.submit(newJob);
+        if (this->randomBelow(12) == 0)
+            this->site.cancel(newJob.id);
     }
 
-    void disturb()
+    void injectFault()
     {
         if (this->hasCrashes) {
-            this->site.resize(this->worker(), this->below(2) == 0 ? Room { 128000, 512000, 8 } : Room { 64000, 256000, 5 });
-            if (this->below(8) == 0)
-                this->site.crash(this->worker());
+            this->site.resize(this->randomWorker(), this->randomBelow(2) == 0 ? Room { 128000, 512000, 8 } : Room { 64000, 256000, 5 });
+            if (this->randomBelow(8) == 0)
+                this->site.crash(this->randomWorker());
         }
-        switch (this->below(14)) {
+        switch (this->randomBelow(14)) {
         case 0:
-            this->site.cut(this->worker(), true);
+            this->site.cut(this->randomWorker(), true);
             break;
         case 1:
         case 2:
@@ -119,10 +119,10 @@
                 this->site.cut(fmt::format("w{:02}", i), false);
             break;
         case 3:
-            this->site.restart(this->worker());
+            this->site.restart(this->randomWorker());
             break;
         case 4:
-            this->site.stall(this->worker(), true);
+            this->site.stall(this->randomWorker(), true);
             break;
         case 5:
             for (int i = 0; i < 12; ++i)
@@ -130,7 +130,7 @@
             break;
         case 6:
             this->site.killPlanner();
-            this->site.run(this->site.now + this->below(3000));
+            this->site.run(this->site.now + this->randomBelow(3000));
             this->site.newPlanner();
             break;
         default:
@@ -139,7 +139,7 @@
         }
     }
 
-    void calm()
+    void endFaults()
     {
         for (int i = 0; i < 12; ++i) {
             this->site.cut(fmt::format("w{:02}", i), false);
@@ -152,56 +152,56 @@
     }
 
     std::mt19937_64 random;
-    std::uint64_t jobs { 0 };
+    std::uint64_t submittedJobs { 0 };
     bool hasPolicies;
     bool hasCrashes;
 };
 
 // Empty if all held; else what did not, with the story of the job concerned.
-std::string play(std::uint64_t seed, const std::string& traced)
+std::string simulate(std::uint64_t seed, const std::string& tracedJob)
 {
-    Course course(seed);
-    course.site.traced = traced;
-    course.play();
-    const auto& broken = course.site.broken;
-    if (broken.empty())
+    Simulation simulation(seed);
+    simulation.site.traced = tracedJob;
+    simulation.simulate();
+    const auto& violations = simulation.site.broken;
+    if (violations.empty())
         return {};
-    if (!traced.empty())
-        return fmt::format("seed {}: {}\n{}", seed, broken.front(), fmt::join(course.site.trace, "\n"));
+    if (!tracedJob.empty())
+        return fmt::format("seed {}: {}\n{}", seed, violations.front(), fmt::join(simulation.site.trace, "\n"));
     constexpr std::size_t idDigits = 16;
-    const std::size_t id = broken.front().find("00000000");
-    return id == std::string::npos ? fmt::format("seed {}: {}", seed, broken.front()) : play(seed, broken.front().substr(id, idDigits));
+    const std::size_t id = violations.front().find("00000000");
+    return id == std::string::npos ? fmt::format("seed {}: {}", seed, violations.front()) : simulate(seed, violations.front().substr(id, idDigits));
 }
 
 class TaskPlannerRandomTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TaskPlannerRandomTest);
-    CPPUNIT_TEST(whateverHappensTheRulesHold);
-    CPPUNIT_TEST(alsoWhereQueuesHavePolicies);
-    CPPUNIT_TEST(alsoWhereTasksCrashTheirWorkers);
+    CPPUNIT_TEST(invariantsHoldUnderFaults);
+    CPPUNIT_TEST(invariantsHoldWithPolicies);
+    CPPUNIT_TEST(invariantsHoldWithWorkerCrashes);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void whateverHappensTheRulesHold()
+    void invariantsHoldUnderFaults()
     {
-        const auto [first, last] = seeds();
+        const auto [first, last] = seedRange();
         for (std::uint64_t seed = first; seed <= last; ++seed) {
-            const std::string problem = play(seed, "");
+            const std::string problem = simulate(seed, "");
             CPPUNIT_ASSERT_MESSAGE(problem, problem.empty());
         }
     }
 
-    void alsoWhereTasksCrashTheirWorkers()
+    void invariantsHoldWithWorkerCrashes()
     {
-        for (std::uint64_t seed = firstWithCrashes; seed < firstWithCrashes + seedsWithCrashes; ++seed) {
-            const std::string problem = play(seed, "");
+        for (std::uint64_t seed = firstCrashSeed; seed < firstCrashSeed + crashSeedCount; ++seed) {
+            const std::string problem = simulate(seed, "");
             CPPUNIT_ASSERT_MESSAGE(problem, problem.empty());
         }
     }
 
-    void alsoWhereQueuesHavePolicies()
+    void invariantsHoldWithPolicies()
     {
-        for (std::uint64_t seed = firstWithPolicies; seed < firstWithPolicies + seedsWithPolicies; ++seed) {
-            const std::string problem = play(seed, "");
+        for (std::uint64_t seed = firstPolicySeed; seed < firstPolicySeed + policySeedCount; ++seed) {
+            const std::string problem = simulate(seed, "");
             CPPUNIT_ASSERT_MESSAGE(problem, problem.empty());
         }
     }
--- a/src/tasks/testing/task_planner_reports_test.cc
+++ b/src/tasks/testing/task_planner_reports_test.cc
@@ -10,20 +10,20 @@
 
 namespace {
 
-constexpr Room whole { 10000, 10000, 8 };
+constexpr Room wholeWorker { 10000, 10000, 8 };
 
-Job patientJob(const std::string& id, std::int64_t count, Millis time)
+Job makePatientJob(const std::string& id, std::int64_t count, Millis estimate)
 {
     Job result;
     result.id = id;
     result.workspace = "a";
     result.terms = { .queue = "q", .service = "s", .priority = 2, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     result.text = "work";
-    result.steps.push_back({ .count = count, .each = whole, .estimate = time });
+    result.steps.push_back({ .count = count, .each = wholeWorker, .estimate = estimate });
     return result;
 }
 
-std::vector<std::string> waitsOf(const VirtualSite& site, const std::string& job)
+std::vector<std::string> waitDetailsOf(const VirtualSite& site, const std::string& job)
 {
     std::vector<std::string> details;
     for (const PlanEvent& event : site.planEvents) {
@@ -35,22 +35,22 @@
 
 class TaskPlannerReportsTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TaskPlannerReportsTest);
-    CPPUNIT_TEST(workThatWaitsForRoomIsExplained);
-    CPPUNIT_TEST(workersThatTakeNoWorkAreCountedByCause);
-    CPPUNIT_TEST(workThatDoesNotWaitLongIsNotReported);
+    CPPUNIT_TEST(longWaitIsReportedWithReason);
+    CPPUNIT_TEST(unavailableWorkersAreCountedByCause);
+    CPPUNIT_TEST(shortWaitIsNotReported);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Guards against patient work that waits while the log says nothing of it.
-    void workThatWaitsForRoomIsExplained()
+    void longWaitIsReportedWithReason()
     {
         VirtualSite site({ .seed = 41, .workers = 4, .failures = 0 });
         site.newPlanner();
-        site.submit(patientJob("first", 4, 20000));
+        site.submit(makePatientJob("first", 4, 20000));
         site.run(2000);
-        site.submit(patientJob("second", 2, 500));
+        site.submit(makePatientJob("second", 2, 500));
         site.run(6500);
-        const std::vector<std::string> details = waitsOf(site, "second");
+        const std::vector<std::string> details = waitDetailsOf(site, "second");
         CPPUNIT_ASSERT(details.size() >= 2 && details.size() <= 4);
         CPPUNIT_ASSERT_MESSAGE(details.back(), details.back().find("no room; room for 0 of 1 members") != std::string::npos);
         CPPUNIT_ASSERT_MESSAGE(details.back(), details.back().find("2 units wait") != std::string::npos);
@@ -58,30 +58,30 @@
     }
 
     // Guards against room that looks free and is not used, with no cause in the log.
-    void workersThatTakeNoWorkAreCountedByCause()
+    void unavailableWorkersAreCountedByCause()
     {
         VirtualSite site({ .seed = 42, .workers = 4, .failures = 0 });
         site.newPlanner();
         site.run(2000);
-        site.submit(patientJob("first", 4, 20000));
+        site.submit(makePatientJob("first", 4, 20000));
         site.run(4000);
         site.cut("w00", true);
-        site.submit(patientJob("second", 2, 500));
+        site.submit(makePatientJob("second", 2, 500));
         site.run(9000);
-        const std::vector<std::string> details = waitsOf(site, "second");
+        const std::vector<std::string> details = waitDetailsOf(site, "second");
         CPPUNIT_ASSERT(!details.empty());
         CPPUNIT_ASSERT_MESSAGE(details.back(), details.back().find("3 take work, 1 silent") != std::string::npos);
     }
 
     // Guards against a log full of what is no delay.
-    void workThatDoesNotWaitLongIsNotReported()
+    void shortWaitIsNotReported()
     {
         VirtualSite site({ .seed = 43, .workers = 4, .failures = 0 });
         site.newPlanner();
-        site.submit(patientJob("first", 4, 1000));
-        site.submit(patientJob("second", 4, 1000));
+        site.submit(makePatientJob("first", 4, 1000));
+        site.submit(makePatientJob("second", 4, 1000));
         CPPUNIT_ASSERT(site.runUntilOver(10000));
-        CPPUNIT_ASSERT(waitsOf(site, "first").empty() && waitsOf(site, "second").empty());
+        CPPUNIT_ASSERT(waitDetailsOf(site, "first").empty() && waitDetailsOf(site, "second").empty());
     }
 };
 
