--- a/src/tasks/testing/crash_test.cc
+++ b/src/tasks/testing/crash_test.cc
@@ -19,7 +19,7 @@
 {
     Job job;
     job.id = id;
-    job.workspace = std::string("a"); // GCC 12 warns wrongly where a literal of one letter is assigned.
+    job.workspace = std::string("a"); // GCC 12 warns incorrectly if a literal of one character is assigned.
     job.terms = { .queue = "q", .service = "s", .priority = 1, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
     job.text = "work";
     job.steps.push_back({ .count = count, .each = each, .estimate = estimate });
@@ -40,8 +40,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against a task that takes down one worker after the other, since runs that end
-    // with their worker are not attempts.
+    // Guards against a task that crashes one worker after the other, since runs that are lost with
+    // their worker don't count as attempts.
     void jobFailsIfTaskCrashesItsWorkers()
     {
         VirtualSite site({ .seed = 50, .failures = 0 });
@@ -52,7 +52,7 @@
         this->assertBadJobFailed(site);
     }
 
-    // Guards against a count of crashes that a planner takes with it when it dies.
+    // Guards against a crash count that is lost when the planner dies.
     void crashesAreCountedAcrossTakeovers()
     {
         VirtualSite site({ .seed = 51, .failures = 0 });
@@ -67,7 +67,8 @@
         this->assertBadJobFailed(site);
     }
 
-    // Guards against counting by gang and run only, or by the members that other workers stopped.
+    // Guards against counting crashes by gang and run only, or counting members that were stopped on
+    // other workers.
     void jobFailsIfGangMemberCrashesItsWorkers()
     {
         VirtualSite site({ .seed = 52, .failures = 0 });
@@ -80,8 +81,8 @@
         this->assertBadJobFailed(site);
     }
 
-    // Guards against jobs that are given up, or lose worker after worker, because they are
-    // placed beside a task that crashes its workers again and again.
+    // Guards against jobs that fail, or lose one worker after the other, because they are repeatedly
+    // placed on the same workers as a task that crashes them.
     void otherTasksSurviveCrashingTask()
     {
         VirtualSite site({ .seed = 53, .failures = 0 });
@@ -98,8 +99,8 @@
         }
     }
 
-    // Guards against starts that were decided before a worker shrank and sent after, when
-    // their record had become durable.
+    // Guards against starts that are decided before a worker's capacity shrinks and sent afterwards,
+    // when their record is durable.
     void noStartIsSentAfterItsWorkerShrank()
     {
         VirtualSite site({ .seed = 54, .workers = 1, .failures = 0 });
@@ -119,8 +120,8 @@
         this->assertNoViolations(site);
     }
 
-    // Guards against a job that is given up for a crash which came after its run had been stopped,
-    // and before anybody had read that.
+    // Guards against a job that fails because of a crash that happened after its run was stopped and
+    // before the end of the run was read.
     void stoppedTaskIsNotBlamedForCrash()
     {
         VirtualSite site({ .seed = 57, .workers = 2, .failures = 0 });
@@ -143,8 +144,8 @@
         this->assertNoViolations(site);
     }
 
-    // Guards against a task that runs twice: its first start, which had no answer, reaches the
-    // worker only after that has started again.
+    // Guards against a task that runs twice: its first start was not answered and reaches the worker
+    // only after the worker has restarted.
     void lostStartDoesNotRunOnNextIncarnation()
     {
         VirtualSite site({ .seed = 55, .workers = 2, .failures = 0 });
@@ -159,8 +160,8 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, site.runsOf("j"));
     }
 
-    // Guards against the same, where the connection broke and the start was sent again by the
-    // HTTP client: the answer to that says nothing of the first one.
+    // Guards against the same failure if the connection broke and the HTTP client repeated the start:
+    // the answer to the repeated start does not show what became of the first one.
     void repeatedStartDoesNotRunOnNextIncarnation()
     {
         VirtualSite site({ .seed = 55, .workers = 2, .failures = 0 });
@@ -175,7 +176,8 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, site.runsOf("j"));
     }
 
-    // Guards against the same, where the first run had been stopped and the second one is elsewhere.
+    // Guards against the same failure if the first run was stopped and the second one is on another
+    // worker.
     void lostStartOfEndedRunDoesNotRunOnNextIncarnation()
     {
         VirtualSite site({ .seed = 56, .workers = 2, .failures = 0 });
--- a/src/tasks/testing/task_planner_polls_test.cc
+++ b/src/tasks/testing/task_planner_polls_test.cc
@@ -40,7 +40,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against leases that run out at the workers that come last in some order.
+    // Guards against expired leases at the workers that are last in the order of polls.
     void noWorkerStarvesWhenPollsQueue()
     {
         VirtualSite site({ .seed = 35, .workers = 150, .failures = 0 });
@@ -56,7 +56,8 @@
         assertNoViolations(site);
     }
 
-    // Guards against work that waits beside workers which nobody has asked since a takeover.
+    // Guards against units that wait although idle workers exist that were not polled since a
+    // takeover.
     void busyWorkersDoNotStarveIdleOnes()
     {
         constexpr std::size_t workers = 150;
@@ -74,7 +75,7 @@
         assertNoViolations(site);
     }
 
-    // Guards against tasks that run twice because their planner had no time to read that they ended.
+    // Guards against tasks that run twice because the planner had no time to read their ends.
     void runsOfUnpolledWorkerAreNotConsideredLost()
     {
         VirtualSite site({ .seed = 37, .workers = 4, .failures = 0 });
@@ -90,8 +91,9 @@
         assertNoViolations(site);
     }
 
-    // Guards against ends of the next incarnation that a poll to the one before, still on its way
-    // when another shows the restart, acknowledges unread: their tasks would run again.
+    // Guards against tasks that run again after their end. A poll that acknowledges ends of the
+    // earlier incarnation is still pending when another poll shows the restart. If it arrived late,
+    // it would acknowledge ends of the next incarnation that were never read.
     void pendingAcknowledgementDelaysNextIncarnation()
     {
         this->submit("ended");
@@ -111,7 +113,7 @@
         const RunRef ended { { "ended", 0, 0, 0 }, 1 };
         planner.pollAnswered(worker.incarnation, this->now, false, { .born = 1, .running = { { running, "", 1 } }, .ended = { { 1, ended, RunEnd::Done, "" } } }, this->now);
 
-        // The poll that acknowledges the end gets no answer while this test lasts.
+        // The poll that acknowledges the end is not answered during this test.
         bool isAcknowledging = false;
         for (int i = 0; i < 100 && !isAcknowledging; ++i) {
             for (const PollOrder& poll : this->takeTurns(planner).polls) {
@@ -122,7 +124,7 @@
         }
         CPPUNIT_ASSERT(isAcknowledging);
 
-        // A poll beside it goes for a start that was there before, and shows the restart.
+        // A start that is refused as old causes a concurrent poll, which shows the restart.
         this->submit("next");
         planner.jobAccepted(this->table.find("next")->job, this->now, this->now);
         bool restartShown = false;
@@ -142,7 +144,7 @@
         CPPUNIT_ASSERT(!startedOnNextIncarnation);
     }
 
-    // Guards against the same where the worker has left the list in between, and comes back.
+    // Guards against the same failure if the worker was removed from the list and is listed again.
     void lostAcknowledgementIsRememberedForUnlistedWorker()
     {
         this->submit("ended");
@@ -193,7 +195,7 @@
         this->table.apply("job/" + id, encodeJob(makeJob(id, 1, oneAccelerator, 5000)), this->offset++, this->now);
     }
 
-    // One turn, some time after the last; what it records is durable at once.
+    // Three turns at fixed intervals. Records are durable immediately. Returns the starts and polls.
     Orders takeTurns(TaskPlanner& planner)
     {
         constexpr Millis turnInterval = 20;
--- a/src/tasks/testing/task_planner_random_test.cc
+++ b/src/tasks/testing/task_planner_random_test.cc
@@ -1,7 +1,6 @@
-// Random courses of events, in virtual time: jobs of all kinds, orders that are
-// lost or come late, workers that are cut off, restart, stall or leave, and
-// planners that die at any moment. Whatever happens, nothing runs twice, no
-// worker gets more than it has room for, and every job ends.
+// Random simulations in virtual time: various jobs, orders that are lost or late, workers that
+// are cut off, restart, stall or leave, and planners that die at any time. In all of them no task
+// runs twice, no worker gets more than its capacity, and every job ends.
 
 #include "tasks/testing/virtual_site.h"
 
@@ -19,15 +18,16 @@
 
 constexpr std::uint64_t defaultSeedCount = 40;
 
-// From this seed on, some queues have a policy.
+// Simulations with seeds from here on include queues with a policy.
 constexpr std::uint64_t firstPolicySeed = 1'000'000;
 constexpr std::uint64_t policySeedCount = 10;
 
-// From this seed on, workers crash, some tasks crash their workers, and capacities change.
+// Simulations with seeds from here on include crashing workers, tasks that crash their workers,
+// and changing capacities.
 constexpr std::uint64_t firstCrashSeed = 2'000'000;
 constexpr std::uint64_t crashSeedCount = 20;
 
-// RATTAN_SEEDS=FIRST-LAST plays others.
+// The first and the last seed; RATTAN_SEEDS=FIRST-LAST selects others.
 std::pair<std::uint64_t, std::uint64_t> seedRange()
 {
     const char* text = std::getenv("RATTAN_SEEDS");
@@ -75,7 +75,7 @@
     {
         Job newJob;
         newJob.id = fmt::format("{:016x}", ++this->submittedJobs);
-        newJob.workspace = std::string(this->randomBelow(2) == 0 ? "a" : "b"); // GCC 12 warns wrongly where a literal of one letter is assigned.
+        newJob.workspace = std::string(this->randomBelow(2) == 0 ? "a" : "b"); // GCC 12 warns incorrectly if a literal of one character is assigned.
         const std::int64_t priority = this->randomBelow(3);
         newJob.terms = { .queue = fmt::format("q{}", priority), .service = "s", .priority = priority, .mostAttempts = 4, .stretch = 3, .latencyTarget = 1000 };
         if (this->hasPolicies && this->randomBelow(3) == 0)
@@ -157,7 +157,8 @@
     bool hasCrashes;
 };
 
-// Empty if all held; else what did not, with the story of the job concerned.
+// Runs one simulation. Returns an empty text if all invariants held; otherwise the first violation,
+// with the trace of the job concerned.
 std::string simulate(std::uint64_t seed, const std::string& tracedJob)
 {
     Simulation simulation(seed);
--- a/src/tasks/testing/task_planner_reports_test.cc
+++ b/src/tasks/testing/task_planner_reports_test.cc
@@ -41,7 +41,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against patient work that waits while the log says nothing of it.
+    // Guards against patient work that waits without an event in the log.
     void longWaitIsReportedWithReason()
     {
         VirtualSite site({ .seed = 41, .workers = 4, .failures = 0 });
@@ -57,7 +57,7 @@
         CPPUNIT_ASSERT_MESSAGE(details.back(), details.back().find("workers: 4 take work") != std::string::npos);
     }
 
-    // Guards against room that looks free and is not used, with no cause in the log.
+    // Guards against unused workers without a cause in the log.
     void unavailableWorkersAreCountedByCause()
     {
         VirtualSite site({ .seed = 42, .workers = 4, .failures = 0 });
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT_MESSAGE(details.back(), details.back().find("3 take work, 1 silent") != std::string::npos);
     }
 
-    // Guards against a log full of what is no delay.
+    // Guards against events for waits that are no delay.
     void shortWaitIsNotReported()
     {
         VirtualSite site({ .seed = 43, .workers = 4, .failures = 0 });
--- a/src/tasks/testing/task_planner_test.cc
+++ b/src/tasks/testing/task_planner_test.cc
@@ -155,9 +155,8 @@
         assertNoViolations(site);
     }
 
-    // All workers are taken by patient work when a guaranteed job arrives. Its
-    // workspace was promised the accelerators, so it must not wait for the work of
-    // others to end.
+    // Guards against a guaranteed job that waits for the end of others' tasks. All workers are
+    // occupied by patient tasks when it arrives.
     void guaranteedJobEvictsPatientTasks()
     {
         VirtualSite site({ .seed = 7, .failures = 0 });
@@ -170,10 +169,8 @@
         assertNoViolations(site);
     }
 
-    // An urgent job outside its workspace's guarantee waits for seconds beside patient
-    // ones, because these have run for so long that stopping one loses too much. Its
-    // caller asks why, and the log has to tell, once and not in every round.
-    // Guards against a guaranteed job that begins late, behind a round which took long.
+    // Guards against a guaranteed job that starts late because the last round over all units took
+    // long, so that such rounds pause.
     void guaranteedJobStartsBetweenWholeRounds()
     {
         constexpr Millis roundDuration = 800;
@@ -192,7 +189,7 @@
         assertNoViolations(site);
     }
 
-    // Guards against a late guaranteed job of which the log says nothing.
+    // Guards against a guaranteed job that waits without an event in the log.
     void waitOfGuaranteedJobIsReported()
     {
         VirtualSite site({ .seed = 9, .workers = 2, .failures = 0 });
@@ -205,6 +202,9 @@
         CPPUNIT_ASSERT(std::any_of(site.planEvents.begin(), site.planEvents.end(), isReported));
     }
 
+    // Guards against an urgent job that waits without an event in the log, or with one event per
+    // round. The job is outside its workspace's guarantee, and the patient tasks have run for so
+    // long that evicting one would lose too much work.
     void waitOfUrgentJobIsReportedOnce()
     {
         VirtualSite site({ .seed = 35, .failures = 0 });
@@ -226,8 +226,8 @@
         assertNoViolations(site);
     }
 
-    // The planner dies while tasks run; another takes over seconds later. Users see
-    // nothing of it: no task is begun again, and none is forgotten.
+    // Guards against tasks that are restarted or lost when the planner dies while they run and
+    // another planner takes over seconds later.
     void takeoverKeepsRunningTasks()
     {
         VirtualSite site({ .seed = 8, .failures = 0 });
@@ -246,8 +246,8 @@
         assertNoViolations(site);
     }
 
-    // A worker is cut off and works on. Until its lease is over its tasks may not
-    // be begun elsewhere, or the same carriage would be booked twice.
+    // Guards against a task that runs twice at the same time: an unreachable worker continues its
+    // tasks until its lease expires, so they must not start elsewhere before.
     void tasksOfUnreachableWorkerWaitForLeaseExpiry()
     {
         VirtualSite site({ .seed = 9, .workers = 4, .failures = 0 });
@@ -262,10 +262,10 @@
         assertNoViolations(site);
     }
 
-    // Starts wait for seconds behind others that get no answer, and then the worker
-    // takes them although its answers are lost. A lease from when they were sent outlives
-    // what the planner counts from its decision: it takes the run for over and starts
-    // the task elsewhere while it runs, and a seat is held twice.
+    // Guards against a task that runs twice at the same time: starts are delayed for seconds behind
+    // unanswered ones, and the worker executes them although its answers are lost. If the lease
+    // counted from the time of sending, it would outlive the planner's lease, which counts from the
+    // decision, and the task would start elsewhere while it runs.
     void delayedStartDoesNotExtendItsLease()
     {
         VirtualSite site({ .seed = 36, .workers = 2, .failures = 0 });
@@ -277,7 +277,7 @@
         site.loseAnswers(1);
         site.run(5000);
         const std::string host = site.hostOf("j1", 0);
-        site.run(11100); // The start was sent three times, the last time three seconds after its decision.
+        site.run(11100); // The start was sent three times, the last time three seconds after the decision.
         site.cut(host, true);
         site.delayStarts(0);
         site.run(30000);
@@ -285,9 +285,9 @@
         assertNoViolations(site);
     }
 
-    // A planner that misses its predecessor's heartbeats follows it before that one's term is
-    // over. Until then the earlier one may renew leases at workers that the later one
-    // cannot reach; taken for over too early, their tasks would run twice at a time.
+    // Guards against tasks that run twice at the same time after a takeover. A planner that misses
+    // its predecessor's heartbeats takes over before the predecessor's term ends. Until then the
+    // predecessor may renew leases at workers that the new planner cannot reach.
     void leasesGrantedByPreviousPlannerAreAwaited()
     {
         VirtualSite site({ .seed = 37, .workers = 2, .failures = 0 });
@@ -317,9 +317,9 @@
         assertNoViolations(site);
     }
 
-    // A failure domain is cut off while urgent jobs keep coming. A job whose start went
-    // there cannot begin elsewhere before the lease is over, and is late; so the domain
-    // must cost two of them, and not one for each of its workers.
+    // Guards against a failure domain that is cut off and delays one urgent job per worker. A job
+    // whose start went there cannot start elsewhere before the lease expires, and is late; at most
+    // two jobs may be.
     void unreachableDomainDelaysAtMostTwoJobs()
     {
         VirtualSite site({ .seed = 1, .failures = 0 });
@@ -341,8 +341,8 @@
         assertNoViolations(site);
     }
 
-    // Guards against a task that runs twice: the answer to its start is lost, it ends, and the
-    // start that is sent again is refused as one that was there before.
+    // Guards against a task that runs twice: the answer to its start is lost, the run ends, and the
+    // repeated start is refused as old.
     void repeatedStartDoesNotRestartEndedRun()
     {
         VirtualSite site({ .seed = 59, .failures = 0 });
@@ -357,8 +357,8 @@
         assertNoViolations(site);
     }
 
-    // Guards against a whole gang that is stopped and begun anew because the order of one
-    // member never left: its relay was lost, or had not read the job yet.
+    // Guards against a gang that is stopped and restarted because the start of one member was not
+    // sent: its relay was lost, or had not read the job yet.
     void unsentStartDoesNotStopItsGang()
     {
         VirtualSite site({ .seed = 58, .failures = 0 });
@@ -372,9 +372,8 @@
         assertNoViolations(site);
     }
 
-    // The network loses one order in ten, or its answer. Of a gang of eight more than half
-    // lose a member's start so; begun anew each time, an urgent job is late for one
-    // lost message.
+    // Guards against a gang that restarts for each lost message. The network loses one order in ten
+    // or its answer, so more than half of the gangs of eight lose the start of a member.
     void lostStartIsRepeated()
     {
         std::int64_t runs = 0;
@@ -391,11 +390,10 @@
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} runs", runs), runs <= simulations * members * 11 / 10);
     }
 
-    // A worker crashes and is back at once under its id, before the list of workers
-    // or a poll tells. A start that was meant for the earlier incarnation reaches the next
-    // one, and ends there. A poll that still acknowledges the ends of the earlier
-    // incarnation would make the worker forget that end unread: the task runs again, and
-    // the same heat sheet is drawn twice.
+    // Guards against a task that runs again after its end. A worker crashes and restarts at once
+    // under its id, before the list of workers or a poll shows it. A start that was meant for the
+    // earlier incarnation reaches the next one and ends there. A poll that still acknowledges ends
+    // of the earlier incarnation would make the worker drop that end before it is read.
     void unreadEndsOfNextIncarnationAreNotAcknowledged()
     {
         for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -415,8 +413,8 @@
         }
     }
 
-    // Tasks on a worker stand still while it answers as always. Its jobs would
-    // never end unless somebody noticed that nothing moves.
+    // Guards against jobs that never end because a worker's tasks make no progress while it answers
+    // polls normally.
     void stalledTasksAreMoved()
     {
         VirtualSite site({ .seed = 11, .workers = 4, .failures = 0 });
@@ -428,9 +426,9 @@
         assertNoViolations(site);
     }
 
-    // Three of four members are through after a quarter of the time and wait for the
-    // fourth. Taken for stalled, such gangs were stopped shortly before their end,
-    // again and again, and large jobs never came to theirs.
+    // Guards against large gangs that never complete because they are repeatedly stopped as stalled
+    // shortly before their end: three of four members finish after a quarter of the time and wait
+    // for the fourth.
     void unequalMembersAreNotConsideredStalled()
     {
         VirtualSite site({ .seed = 15, .workers = 4, .failures = 0, .uneven = true });
@@ -441,9 +439,8 @@
         assertNoViolations(site);
     }
 
-    // Two members of a gang stand still and the third has gone on, so nobody can
-    // tell which of the two holds up the other. To blame one of them would take a
-    // sound worker out of use.
+    // Guards against a healthy worker that is distrusted. Two members of a gang stand still and the
+    // third has progressed, so it is unknown which of the two blocks the other.
     void tiedSlowestMembersAreNotDistrusted()
     {
         VirtualSite site({ .seed = 31, .workers = 4, .failures = 0 });
@@ -456,17 +453,16 @@
         CPPUNIT_ASSERT(!secondHost.empty());
         site.stall(firstHost, true);
         site.stall(secondHost, true);
-        constexpr Millis stallDetected = 14000; // The third member goes on for eight seconds.
+        constexpr Millis stallDetected = 14000; // The third member progresses for eight seconds.
         site.run(stallDetected);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 6 }, site.runsOf("g1"));
         CPPUNIT_ASSERT_EQUAL(firstHost, site.hostOf("g1", 0));
         assertNoViolations(site);
     }
 
-    // A planner that takes over knows nothing of 1,000 workers. To ask all of them at
-    // once takes a weak machine longer than its term: it could not renew, and the next
-    // one would do the same, so that no job starts any more. Leases run out where
-    // something runs, so these come first.
+    // Guards against takeovers that never succeed: to poll 1,000 unknown workers at once takes a
+    // slow machine longer than its term, so it cannot renew the term, and neither can the next
+    // planner. Workers with runs are polled first because their leases expire.
     void takeoverPollsBusyWorkersFirst()
     {
         constexpr int workers = 1000;
@@ -490,10 +486,9 @@
         assertNoViolations(site);
     }
 
-    // After a takeover all workers have to be asked again. While nothing waits for the
-    // idle ones, asking them must leave time for what runs: a job whose ends and
-    // starts queue behind thousands of answers comes too late. Once something waits
-    // for room, they are asked as fast as they can be.
+    // Guards against late jobs after a takeover, when all workers must be polled again and ends and
+    // starts could queue behind thousands of answers. Idle workers are polled slowly while no unit
+    // waits, and as fast as possible once one does.
     void idlePollsAreLimitedWhileNoUnitWaits()
     {
         constexpr int workers = 1000;
@@ -510,9 +505,8 @@
         CPPUNIT_ASSERT(site.planner->takeOrders(site.now).polls.size() > maxIdlePollsAtOnce);
     }
 
-    // A planner that takes over hears of the busy workers first. An urgent job that
-    // comes just then would find all workers it knows taken and have patient work
-    // stopped, and its callers lose what it had done, though most workers are idle.
+    // Guards against needless evictions after a takeover. Busy workers are polled first, so an urgent
+    // job that arrives then finds all known workers occupied although most workers are idle.
     void noEvictionBeforeIdleWorkersArePolled()
     {
         constexpr int workers = 200;
@@ -542,9 +536,8 @@
         assertNoViolations(site);
     }
 
-    // After a burst of urgent jobs the workers that were kept for them stand idle.
-    // A large job that fits nowhere else has to get them, or it would wait while
-    // most of the room is free.
+    // Guards against a large job that waits while most accelerators are idle: after a burst of urgent
+    // jobs, workers are kept for them, and the large job fits nowhere else.
     void idleWorkersKeptForUrgentJobsAreLent()
     {
         VirtualSite site({ .seed = 13, .failures = 0 });
@@ -558,7 +551,8 @@
         assertNoViolations(site);
     }
 
-    // Records of jobs that ended long ago fill the store, and every instance's memory.
+    // Guards against records of jobs that ended long ago, which would fill the store and the memory
+    // of every instance.
     void recordsOfFinalJobsAreDeleted()
     {
         VirtualSite site({ .seed = 16, .failures = 0 });
@@ -570,7 +564,7 @@
         site.planner->forgetJobs({ "j1", "j2" });
         site.run(4500);
         CPPUNIT_ASSERT(!site.table.find("j1"));
-        CPPUNIT_ASSERT(site.table.find("j2")); // Not over.
+        CPPUNIT_ASSERT(site.table.find("j2")); // Not final.
         assertNoViolations(site);
     }
 
@@ -580,7 +574,7 @@
         site.newPlanner();
         Job longRunningJob = makeJob("j1", 2, oneAccelerator, 1000);
         longRunningJob.steps.front().longRunning = true;
-        longRunningJob.terms.mostAttempts = 1000; // Tasks that last have no such limit, and the site checks it.
+        longRunningJob.terms.mostAttempts = 1000; // Long-running tasks have no limit of attempts, but the site checks it.
         site.submit(longRunningJob);
         site.run(15000);
         CPPUNIT_ASSERT(site.stateOf("j1") == JobState::Running);
@@ -588,8 +582,8 @@
         assertNoViolations(site);
     }
 
-    // A queue's policy allows half of the workers, which only a service outside knows. A
-    // start elsewhere is refused, so without asking its jobs would never run.
+    // Guards against jobs that never run because their starts are refused. The queue's policy allows
+    // half of the workers, and only an external advice service knows which.
     void stepsRunOnlyOnWorkersTheirPolicyAllows()
     {
         VirtualSite site({ .seed = 41, .failures = 0, .lostAdvice = 0.3 });
@@ -606,7 +600,7 @@
         for (const char* id : { "wide", "together", "free" })
             CPPUNIT_ASSERT(site.stateOf(id) == JobState::Completed);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.refusedTickets);
-        CPPUNIT_ASSERT(site.adviceAsked <= 24 * 3); // Each worker once for each step, but for lost answers.
+        CPPUNIT_ASSERT(site.adviceAsked <= 24 * 3); // Once per worker and step, except for lost answers.
         assertNoViolations(site);
     }
 
@@ -624,8 +618,8 @@
         assertNoViolations(site);
     }
 
-    // Guards against a gang that waits for ever: it passes over workers that failed it, the
-    // advice service is not asked about these again, and the others that it may use are too few.
+    // Guards against a gang that waits forever: it avoids workers on which it failed, advice on these
+    // is not requested again, and its policy allows too few other workers.
     void policyMayRequireWorkersThatFailedTheGang()
     {
         VirtualSite site({ .seed = 57, .failures = 0 });
@@ -644,8 +638,8 @@
         assertNoViolations(site);
     }
 
-    // Tickets are not recorded: who takes over has to ask again, and must not start
-    // anything without.
+    // Guards against starts without a ticket after a takeover: tickets are not recorded, so the new
+    // planner must request them again.
     void policyIsEnforcedAfterTakeover()
     {
         VirtualSite site({ .seed = 43, .failures = 0.2 });
