--- a/src/tasks/task_planner_crashes.cc
+++ b/src/tasks/task_planner_crashes.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-    constexpr std::array<std::string_view, 3> lossNames { "its worker has ended", "its worker has started again", "its lease is over" };
+    constexpr std::array<std::string_view, 3> lossNames { "its worker was replaced", "its worker restarted", "its lease expired" };
 
 } // namespace
 
@@ -32,7 +32,7 @@
         return;
     const PlacedRun placedRun = found->second;
     const std::string confirmed = placedRun.confirmedAt > 0 ? fmt::format("confirmed {} ms ago", now - placedRun.confirmedAt) : "never confirmed";
-    this->emit(PlanEventKind::RunLost, placedRun.unit, run.run, worker.seen.incarnation.id, fmt::format("{}, {}, {} runs there", nameOf(loss), confirmed, worker.placedRuns.size()));
+    this->emit(PlanEventKind::RunLost, placedRun.unit, run.run, worker.seen.incarnation.id, fmt::format("{}, {}, {} runs on its worker", nameOf(loss), confirmed, worker.placedRuns.size()));
     this->countCrash(worker, placedRun, loss);
     this->removeMember(worker, run, loss == RunLoss::LeaseOver ? std::optional(RunEnd::Lapsed) : std::nullopt, "", now);
 }
--- a/src/tasks/task_planner_evictions.cc
+++ b/src/tasks/task_planner_evictions.cc
@@ -84,7 +84,7 @@
     if (unit.refusal == refusal)
         return;
     unit.refusal = refusal;
-    std::string reason = refusal == EvictionRefusal::NoRoom ? "no runs that it may stop make room" : fmt::format("the cheapest choice loses {:.0f} core-seconds, {:.0f} are allowed", cost, bound);
+    std::string reason = refusal == EvictionRefusal::NoRoom ? "evicting all permitted runs would not free enough resources" : fmt::format("the cheapest eviction loses {:.0f} core-seconds, the limit is {:.0f}", cost, bound);
     this->emit(PlanEventKind::UnitWaits, unit.key, unit.run, "", std::move(reason));
 }
 
--- a/src/tasks/task_planner_reports.cc
+++ b/src/tasks/task_planner_reports.cc
@@ -67,7 +67,7 @@
         return;
     this->lastWaitReportAt = now;
     const std::string& service = oldest->job->terms.service;
-    std::string room = "no picture of its service";
+    std::string room = "no snapshot of its service";
     if (const auto snapshot = snapshots.find(service); snapshot != snapshots.end()) {
         const Snapshot::Offered offered = snapshot->second.offered(this->requestOf(*oldest));
         room = fmt::format("room for {} of {} members, {} unreserved, {} now", offered.free, oldest->members(), offered.unreserved, offered.now);
--- a/src/tasks/task_planner_rounds.cc
+++ b/src/tasks/task_planner_rounds.cc
@@ -145,7 +145,7 @@
     }
     for (const UnitKey& key : unitsToMove) {
         if (Unit* unit = this->find(key)) {
-            this->emit(PlanEventKind::UnitEvicted, key, unit->run, "", "its worker leaves");
+            this->emit(PlanEventKind::UnitEvicted, key, unit->run, "", "its worker is leaving");
             this->stopUnit(*unit, now);
         }
     }
--- a/src/tasks/task_planner_violations.cc
+++ b/src/tasks/task_planner_violations.cc
@@ -33,14 +33,14 @@
             used += placedRun.room;
             const auto unit = this->units.find(placedRun.unit);
             if (!placedRun.stray && (unit == this->units.end() || unit->second.run != run.run || unit->second.state != UnitState::Running))
-                problems.push_back("a run without its unit: " + run.task.job);
+                problems.push_back("a run that is not the current run of a running unit: " + run.task.job);
             if (!placedRun.stray && ++live[run.task] > 1)
-                problems.push_back("a task twice: " + run.task.job);
+                problems.push_back("a task with two current runs: " + run.task.job);
             if (placedRun.phase == RunPhase::Recording && !isRecorded(id, run))
-                problems.push_back("a run that waits for a record nobody makes: " + run.task.job);
+                problems.push_back("a run that waits for a record but is in no batch: " + run.task.job);
         }
         if (!(used == worker.used))
-            problems.push_back("the room of " + id + " is not that of its runs");
+            problems.push_back("the used resources of " + id + " differ from the sum of its runs");
     }
 }
 
@@ -48,22 +48,22 @@
 {
     for (const auto& [key, unit] : this->units) {
         if ((unit.state == UnitState::Waiting) != this->waitingUnits.contains(key))
-            problems.push_back("the queue is not the set of waiting units: " + key.job);
+            problems.push_back("the set of waiting units disagrees with the unit's state: " + key.job);
         if (this->urgentWaitingUnits.contains(key) != (unit.state == UnitState::Waiting && unit.job->terms.priority == 0))
-            problems.push_back("the urgent queue is not the set of urgent units that wait: " + key.job);
+            problems.push_back("the set of urgent waiting units disagrees with the unit: " + key.job);
         if (this->isolatedUnits.contains(key) && (unit.state != UnitState::Running || !unit.suspect))
-            problems.push_back("isolated without being suspect: " + key.job);
+            problems.push_back("an isolated unit that is not running or not suspect: " + key.job);
         if (!this->jobs.contains(key.job))
             problems.push_back("a unit without its job: " + key.job);
         if (unit.state == UnitState::Waiting)
             continue;
         const std::int64_t placed = this->membersPlaced(unit);
         if (unit.state != UnitState::Running || placed == 0 || placed != unit.left || (placed < unit.members() && !unit.stopping))
-            problems.push_back(fmt::format("a unit with {} of {} members on workers that counts {}: {}", placed, unit.members(), unit.left, key.job));
+            problems.push_back(fmt::format("a unit has {} of {} members on workers but counts {}: {}", placed, unit.members(), unit.left, key.job));
     }
     for (const UnitKey& key : this->waitingUnits) {
         if (!this->units.contains(key))
-            problems.push_back("the queue holds a unit that is gone: " + key.job);
+            problems.push_back("a waiting unit does not exist: " + key.job);
     }
 }
 
@@ -105,16 +105,16 @@
     const Step& step = active.job->steps[index];
     if (!state.begun) {
         const auto isDone = [&occurrence](std::int64_t earlier) { return occurrence.steps[static_cast<std::size_t>(earlier)].done; };
-        return std::all_of(step.dependsOn.begin(), step.dependsOn.end(), isDone) ? "a step whose turn has come has not begun" : "";
+        return std::all_of(step.dependsOn.begin(), step.dependsOn.end(), isDone) ? "a step whose dependencies are done has not begun" : "";
     }
     const auto number = static_cast<std::int64_t>(index);
     if (std::any_of(left.begin(), left.end(), [&](std::int64_t unit) { return occurrence.doneUnits.contains({ number, unit }); }))
-        return "a unit that is done and is still there";
+        return "a completed unit still exists";
     const auto done = std::distance(occurrence.doneUnits.lower_bound({ number, wholeGang }), occurrence.doneUnits.lower_bound({ number + 1, wholeGang }));
     if (static_cast<std::int64_t>(left.size()) + done != (step.gang ? 1 : step.count))
-        return "a unit that is neither there nor done";
+        return "a unit neither exists nor is completed";
     const auto count = static_cast<std::int64_t>(left.size());
-    return state.left != count || state.done != (count == 0) ? "a step that miscounts its units" : "";
+    return state.left != count || state.done != (count == 0) ? "a step counts its units incorrectly" : "";
 }
 
 } // namespace rattan::tasks
--- a/src/tasks/task_planner_workers.cc
+++ b/src/tasks/task_planner_workers.cc
@@ -141,7 +141,7 @@
     if (end.end == RunEnd::Failed && worker.placedRuns.contains(end.run)) {
         worker.trust.failed(now);
         if (worker.trust.onTrial())
-            this->emit(PlanEventKind::WorkerDistrusted, {}, 0, worker.seen.incarnation.id, "runs fail one after the other");
+            this->emit(PlanEventKind::WorkerDistrusted, {}, 0, worker.seen.incarnation.id, "consecutive runs failed");
     }
     if (worker.placedRuns.contains(end.run))
         this->removeMember(worker, end.run, end.end, end.checkpoint, now);
--- a/src/tasks/testing/task_planner_random_test.cc
+++ b/src/tasks/testing/task_planner_random_test.cc
@@ -59,7 +59,7 @@
         this->endFaults();
         const bool allOver = this->site.runUntilOver(this->site.now + 180000);
         if (!allOver)
-            this->site.broken.emplace_back("jobs that never end");
+            this->site.broken.emplace_back("some jobs did not end");
     }
 
     VirtualSite site;
