--- a/src/tasks/testing/fault_scenario_test.cc
+++ b/src/tasks/testing/fault_scenario_test.cc
@@ -29,7 +29,7 @@
     return result;
 }
 
-bool hasLostWork(const VirtualSite& site) { return !site.violations.empty() && site.violations.front().find("could run and doesn't") != std::string::npos; }
+bool hasLostWork(const VirtualSite& site) { return !site.violations.empty() && site.violations.front().find("runnable but not started") != std::string::npos; }
 
 class FaultScenarioTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(FaultScenarioTest);
--- a/src/tasks/testing/lost_work_detector.cc
+++ b/src/tasks/testing/lost_work_detector.cc
@@ -39,7 +39,7 @@
             const Millis firstSeen = previous == this->lostSince.end() ? view.now : previous->second;
             stillLost[job->id] = firstSeen;
             if (view.now - firstSeen >= maxIdleTime && this->reportedJobs.insert(job->id).second)
-                violations.push_back(fmt::format("{} ms: could run and doesn't: {}.{}.{} of {} jobs that are not over, {} of {} accelerators in use", view.now, unit.job, unit.step, unit.index, view.jobs.size(), view.usedAccelerators, view.accelerators));
+                violations.push_back(fmt::format("{} ms: runnable but not started: {}.{}.{} of {} unfinished jobs, {} of {} accelerators in use", view.now, unit.job, unit.step, unit.index, view.jobs.size(), view.usedAccelerators, view.accelerators));
             break;
         }
     }
--- a/src/tasks/testing/virtual_site.cc
+++ b/src/tasks/testing/virtual_site.cc
@@ -308,7 +308,7 @@
         order.worker.id,
         [this, order, term] {
             Worker& worker = this->workers.at(order.worker.id);
-            this->traceRun(order.run, order.worker.id, "stop arrives");
+            this->traceRun(order.run, order.worker.id, "stop received");
             if (term < worker.highestTerm)
                 return std::optional(false);
             worker.highestTerm = term;
--- a/src/tasks/testing/virtual_site_workers.cc
+++ b/src/tasks/testing/virtual_site_workers.cc
@@ -151,7 +151,7 @@
 
 StartAnswer VirtualSite::executeStart(const StartOrder& order, std::int64_t term, Millis until)
 {
-    this->traceRun(order.run, order.worker.id, "start arrives");
+    this->traceRun(order.run, order.worker.id, "start received");
     Worker& worker = this->workers.at(order.worker.id);
     if (term < worker.highestTerm)
         return StartAnswer::Deposed;
@@ -204,23 +204,23 @@
     for (const auto& [id, other] : this->workers) {
         for (const auto& [ref, run] : other.running) {
             if (ref.task == task)
-                this->reportViolation(fmt::format("twice at a time (run {} on {})", ref.run, id), order);
+                this->reportViolation(fmt::format("already running (run {} on {})", ref.run, id), order);
         }
     }
     if (this->acknowledgedDone.contains(task))
-        this->reportViolation("again after its end", order);
+        this->reportViolation("started after its acknowledged end", order);
     for (const std::int64_t earlier : step.dependsOn) {
         const Step& dependency = job.steps[static_cast<std::size_t>(earlier)];
         for (std::int64_t index = 0; index < dependency.count; ++index) {
             if (!this->done.contains({ task.job, task.occurrence, earlier, index }))
-                this->reportViolation("before what it depends on", order);
+                this->reportViolation("started before a step that it depends on has ended", order);
         }
     }
     if (static_cast<std::int64_t>(this->acknowledgedFailures[task].size()) >= job.terms.mostAttempts)
-        this->reportViolation("after its last attempt", order);
+        this->reportViolation("started after its last attempt", order);
     constexpr std::int64_t crashLimit = 3;
     if (const auto crashed = this->crashes.find(task); crashed != this->crashes.end() && crashed->second >= crashLimit && ++this->startsAfterCrashes[task] >= crashLimit)
-        this->reportViolation("three times more after three crashes", order);
+        this->reportViolation("started three more times after three crashes", order);
 }
 
 // A reduced capacity applies only once the list must have shown it.
@@ -234,7 +234,7 @@
     for (const auto& [replacedAt, capacity] : worker.formerCapacities)
         isAllowed = isAllowed || (this->now < replacedAt + maxListDelay && used.within(capacity));
     if (!isAllowed)
-        this->reportViolation("over room", order);
+        this->reportViolation("exceeds the capacity of the worker", order);
 }
 
 void VirtualSite::checkFailedJob(const std::string& id)
