--- a/src/tasks/election.h
+++ b/src/tasks/election.h
@@ -123,7 +123,7 @@
     std::int64_t logEnd { -1 }; // As far as the log was read; negative if it has not been read.
     Millis newestReadAt { 0 };
     bool isHolder { false }; // The newest claim is by this process.
-    bool resigning { false }; // Set until the log shows that the term was given up.
+    bool resigning { false }; // True until the log shows that the term was given up.
     bool retired { false };
     Millis logRegainedAt { 0 };
     Millis suspectedAt { 0 }; // When the current holder was reported as failed, or 0.
@@ -132,7 +132,7 @@
     std::int64_t confirmedTerm { 0 }; // The last term in which this process led.
     std::optional<Append> pendingAppend;
     Millis proposalLastSentAt { 0 };
-    std::optional<Claim> lastProposal; // Unset if no attempt to append it can be in the log.
+    std::optional<Claim> lastProposal; // Unset if no attempt to append the last one can be in the log.
     Millis proposalFirstSentAt { 0 };
     Millis nextRenewal { 0 };
 };
--- a/src/tasks/placement.h
+++ b/src/tasks/placement.h
@@ -117,7 +117,7 @@
     std::optional<Placement> findAfterStops(const PlacementRequest&) const;
 
     void allocate(const PlacementRequest&, const Placement&); // The unit starts now.
-    void allocateAfterStops(const PlacementRequest&, const Placement&); // It starts once runs being stopped have ended.
+    void allocateAfterStops(const PlacementRequest&, const Placement&); // The unit starts once runs being stopped have ended.
 
     // Marks the unit's runs on these workers as being stopped.
     void markStopping(const UnitKey&, const std::vector<Incarnation>&);
--- a/src/tasks/planner_state.h
+++ b/src/tasks/planner_state.h
@@ -41,7 +41,7 @@
 
     // State of the current run.
     std::int64_t membersLeft { 0 };
-    bool memberFailed { false }; // Because of the task itself.
+    bool memberFailed { false }; // A member failed because of the task itself.
     bool stopping { false };
     bool inherited { false }; // Started under an earlier planner, so the start time is unknown.
     bool placedRemotely { false }; // Outside the rack of its data, or across several racks.
@@ -120,7 +120,7 @@
     UnitKey unit;
     bool orphaned { false }; // Its unit no longer depends on it.
     bool inherited { false }; // Started by an earlier planner, if it was started.
-    bool hasBegun { false }; // Known for certain.
+    bool hasBegun { false }; // It is certain that the run started.
     Resources resources;
     RunPhase phase { RunPhase::Recording };
     bool stopRequested { false };
@@ -162,7 +162,7 @@
     std::int64_t handledUpTo { 0 }; // Ends up to this number are in the planner's state.
     std::int64_t durableUpTo { 0 }; // Ends up to this number are in the log.
     std::int64_t acknowledgedUpTo { 0 }; // The worker has confirmed an acknowledgement up to this number.
-    std::int64_t ackInFlight { 0 };
+    std::int64_t ackInFlight { 0 }; // The acknowledgement in the poll in flight, or 0.
     Millis ackUnansweredAt { 0 }; // When a poll with an acknowledgement last had no answer; it may be carried out late.
     Millis placementBlockedUntil { 0 }; // Until then, an end on this worker could be acknowledged before it is read.
     std::map<RunRef, Millis> unansweredStarts; // By run, when a start had no answer; it may be carried out late, also by a later incarnation.
@@ -178,7 +178,7 @@
         return std::any_of(this->placedRuns.begin(), this->placedRuns.end(), [](const auto& entry) { return entry.second.phase != RunPhase::Recording; });
     }
 
-    // True if an acknowledgement sent now can only refer to ends of the current incarnation.
+    // True if an acknowledgement sent now certainly refers to ends of the current incarnation.
     // A worker that has restarted under the same id numbers its ends from 1 again. An
     // acknowledgement meant for its earlier incarnation makes it drop ends that were never
     // read, and their tasks run a second time. A worker has no ends before it receives a
--- a/src/tasks/progress.h
+++ b/src/tasks/progress.h
@@ -52,7 +52,7 @@
 // is another incarnation.
 struct Incarnation {
     std::string id;
-    Millis born { 0 };
+    Millis born { 0 }; // When it started.
 
     // clang-tidy 14 mistakes the zero in a defaulted comparison for a null pointer.
     auto operator<=>(const Incarnation&) const = default; // NOLINT(modernize-use-nullptr)
--- a/src/tasks/worker.h
+++ b/src/tasks/worker.h
@@ -30,7 +30,7 @@
     Failed, // Because of the task itself or of the worker.
     Stopped, // By a stop order.
     LeaseExpired, // The lease was not renewed in time.
-    GangMemberEnded,
+    GangMemberEnded, // Another member of its gang ended.
     GangIncomplete, // The other members of its gang did not start in time.
 };
 
--- a/src/tasks/worker_health.h
+++ b/src/tasks/worker_health.h
@@ -15,7 +15,7 @@
 public:
     void runSucceeded();
     void runFailed(Millis now);
-    void runStalled(Millis now); // Enough by itself for a quarantine.
+    void runStalled(Millis now); // A single stall is enough for a quarantine.
 
     // True if a run may start there. While probing, that is one run at a time: `noRun` is true
     // if none has started since the quarantine ended.
