--- a/src/tasks/task_planner_crashes.cc
+++ b/src/tasks/task_planner_crashes.cc
@@ -16,11 +16,11 @@
 
 namespace {
 
-    constexpr std::array<std::string_view, 3> lossNames { "its worker was replaced", "its worker restarted", "its lease expired" };
+    constexpr std::array<std::string_view, 3> runLossNames { "its worker was replaced", "its worker restarted", "its lease expired" };
 
 } // namespace
 
-std::string_view detail::nameOf(RunLoss loss) { return lossNames.at(static_cast<std::size_t>(loss)); }
+std::string_view detail::nameOf(RunLoss loss) { return runLossNames.at(static_cast<std::size_t>(loss)); }
 
 // Removes a run whose end will not be reported. The event lets the log distinguish a crash under
 // a task from an eviction, and shows how many runs the worker had.
--- a/src/tasks/task_planner_polls.cc
+++ b/src/tasks/task_planner_polls.cc
@@ -16,12 +16,12 @@
 namespace {
 
     // How far a poll that is expected to free resources is moved ahead of others.
-    constexpr Millis endExpectedLead = 400;
+    constexpr Millis expectedEndLead = 400;
 
     // How far idle workers are moved behind others: after a takeover all polls are due at once.
     constexpr Millis idleDelay = 300;
 
-    constexpr Millis firstTurn = -1; // Before all others.
+    constexpr Millis firstSortTime = -1; // Before all others.
 
 } // namespace
 
@@ -59,12 +59,12 @@
 {
     if (worker.pollUnderWay || now < worker.nextPollAt)
         return false;
-    const bool calm = worker.known && !worker.silent;
+    const bool isResponsive = worker.known && !worker.silent;
     const bool ackDue = worker.durable > worker.acknowledged && worker.ackDueBy > 0 && now >= worker.ackDueBy;
-    if (calm && !worker.isLive() && !ackDue)
+    if (isResponsive && !worker.isLive() && !ackDue)
         return false;
     // The worker would immediately answer again with an end that is not durable yet.
-    return !calm || worker.handled <= worker.durable || now + this->options.maxLease / 2 >= worker.leaseOverBy;
+    return !isResponsive || worker.handled <= worker.durable || now + this->options.maxLease / 2 >= worker.leaseOverBy;
 }
 
 // Does not renew a lease that has expired: the poll then only requests the state of the runs.
@@ -91,28 +91,28 @@
     this->duePolls.clear();
     const bool hasWaitingUnits = !this->waitingUnits.empty();
     const bool canPollIdle = hasWaitingUnits || now >= this->nextIdlePollsAt;
-    std::size_t idle = 0;
+    std::size_t idlePolls = 0;
     for (const auto& [id, worker] : this->workers) {
         if (worker.seen.address.empty() || (!worker.listed && worker.placedRuns.empty()))
             continue; // The address of a worker known only from a record comes with the list of workers.
         if (this->isConcurrentPollDue(worker, now))
-            this->duePolls.push_back({ this->isEndExpected(worker) ? now - endExpectedLead : now, id, true });
+            this->duePolls.push_back({ this->isEndExpected(worker) ? now - expectedEndLead : now, id, true });
         if (!this->isPollDue(worker, now))
             continue;
         Millis sortTime = worker.nextPollAt;
         if (worker.placedRuns.empty()) {
-            if (!canPollIdle || (!hasWaitingUnits && idle == maxIdlePollsPerTurn))
+            if (!canPollIdle || (!hasWaitingUnits && idlePolls == maxIdlePollsPerTurn))
                 continue;
-            ++idle;
+            ++idlePolls;
             sortTime += idleDelay;
         } else if (this->isLeaseHalfOver(worker, now)) {
-            sortTime = firstTurn;
+            sortTime = firstSortTime;
         } else if (isEndExpected(worker)) {
-            sortTime -= endExpectedLead;
+            sortTime -= expectedEndLead;
         }
         this->duePolls.push_back({ sortTime, id, false });
     }
-    if (idle > 0)
+    if (idlePolls > 0)
         this->nextIdlePollsAt = now + idlePollInterval;
     std::sort(this->duePolls.begin(), this->duePolls.end(), [](const DuePoll& a, const DuePoll& b) { return std::tie(b.sortTime, b.worker) < std::tie(a.sortTime, a.worker); });
     this->sendDuePolls(now, orders);
--- a/src/tasks/task_planner_rounds.cc
+++ b/src/tasks/task_planner_rounds.cc
@@ -375,7 +375,7 @@
             request.avoid = nullptr; // A worker on which it failed is better than none.
             couldFit = !unit.avoid.empty() && snapshot->second.couldEverFit(request);
         }
-        const bool plain = request.isolatedFor.empty() && request.mostPerWorker == 0 && unit.avoid.empty() && !hasPolicy;
+        const bool isCacheable = request.isolatedFor.empty() && request.mostPerWorker == 0 && unit.avoid.empty() && !hasPolicy;
         FailedRequests& failed = failedRequests[service];
         const bool knownToFail = failed.cover(request);
         if (!knownToFail && this->tryPlace(candidate, snapshot->second, request, now)) {
@@ -402,7 +402,7 @@
         this->reportGuaranteeWait(candidate, snapshot->second, request, now);
         if (unit.avoid.empty())
             blockedStep = &unit.key;
-        if (plain && !knownToFail)
+        if (isCacheable && !knownToFail)
             failed.add(request);
         if (reservations[service]++ < maxReservations) {
             ++this->round.reservations;
