--- a/src/tasks/task_planner_rounds.cc
+++ b/src/tasks/task_planner_rounds.cc
@@ -375,7 +375,7 @@
             request.excludedWorkers = nullptr; // A worker on which it failed is better than none.
             couldFit = !unit.excludedWorkers.empty() && snapshot->second.fitsWhenEmpty(request);
         }
-        const bool plain = request.isolatedJob.empty() && request.maxPerWorker == 0 && unit.excludedWorkers.empty() && !hasPolicy;
+        const bool isCacheable = request.isolatedJob.empty() && request.maxPerWorker == 0 && unit.excludedWorkers.empty() && !hasPolicy;
         FailedRequests& failed = failedRequests[service];
         const bool knownToFail = failed.covers(request);
         if (!knownToFail && this->tryPlace(candidate, snapshot->second, request, now)) {
@@ -402,7 +402,7 @@
         this->reportGuaranteeWait(candidate, snapshot->second, request, now);
         if (unit.excludedWorkers.empty())
             blockedStep = &unit.key;
-        if (plain && !knownToFail)
+        if (isCacheable && !knownToFail)
             failed.add(request);
         if (reservations[service]++ < maxReservations) {
             ++this->round.reservations;
