--- a/src/delivery/report_delta.h
+++ b/src/delivery/report_delta.h
@@ -6,7 +6,7 @@
 //     ReportEncoder encoder;                        // where the worker is polled, one a session
 //     ReportDelta delta = encoder.encode(id, report);
 //     ReportDecoder decoder;                        // at the other end of the session
-//     std::optional<WorkerReport> same = decoder.decode(id, delta);
+//     std::optional<WorkerReport> decoded = decoder.decode(id, delta);
 //
 // Every delta must be decoded exactly once, in the order of encoding; a new session starts with
 // new objects on both sides. decode() returns empty for a delta whose base is missing or that
--- a/src/tasks/testing/lost_work_detector.h
+++ b/src/tasks/testing/lost_work_detector.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// Detects lost work: a job that was not cancelled and has had no running task for a while,
+// Detects lost work: a job that was not cancelled and has had no running task for `maxIdleTime`,
 // although a task of it is ready, the task fits twice on workers that can take it, and less
 // than half of all accelerators are in use.
 //
 // The detector is given what workers do, not the planner's view. It counts capacity as free at
-// once, so a planner must notice freed capacity within that time.
+// once, so a planner must use freed capacity within that time.
 //
 //     LostWorkDetector detector;
 //     if (isCalm) detector.check(view, violations); else detector.reset();
--- a/src/tasks/testing/virtual_site.h
+++ b/src/tasks/testing/virtual_site.h
@@ -77,19 +77,19 @@
     void setDomainPartitioned(const std::string& domain, bool isPartitioned);
     void setStalled(const std::string& id, bool isStalled);
 
-    // Starts are sent this much later than they were decided, as if queued behind others.
-    void delayStarts(Millis wait) { this->startDelay = wait; }
+    // Starts are sent this much later than they are decided, as if queued behind others.
+    void delayStarts(Millis delay) { this->startDelay = delay; }
 
     // The next start is executed this much later, by the worker that has the address at that
     // time, and is not answered.
-    void delayNextStart(Millis wait) { this->nextStartDelay = wait; }
+    void delayNextStart(Millis delay) { this->nextStartDelay = delay; }
 
     // The connection of the next start breaks. The start is sent again at once, and is also
     // executed this much later, by the worker that has the address at that time.
-    void repeatNextStart(Millis wait) { this->nextStartRepeatDelay = wait; }
+    void repeatNextStart(Millis delay) { this->nextStartRepeatDelay = delay; }
 
-    // The given number of the next starts is not sent, and answered so.
-    void suppressNextStarts(int starts) { this->suppressedStarts = starts; }
+    // The next `count` starts are not sent; the planner receives the answer NotSent for them.
+    void suppressNextStarts(int count) { this->suppressedStarts = count; }
 
     // An earlier planner, which does not know yet that it has been replaced, renews the lease of
     // a worker that the new planner has not reached.
@@ -112,7 +112,7 @@
     void crash(const std::string& id);
 
     // The first task of this job crashes every worker that starts it, this long after the start.
-    void crashWorkersRunning(const std::string& job, Millis after) { this->crashDelays[job] = after; }
+    void crashWorkersRunning(const std::string& job, Millis delay) { this->crashDelays[job] = delay; }
 
     // The number of workers that have crashed while running the first task of a job.
     std::int64_t crashCountOf(const std::string& job) const;
@@ -122,17 +122,17 @@
 
     // Sets the time between turns of the planner, to simulate a machine with too little processor
     // time.
-    void setPlannerInterval(Millis gap) { this->plannerInterval = gap; }
+    void setPlannerInterval(Millis interval) { this->plannerInterval = interval; }
 
     // The planner has no turn before the given time.
     void pausePlanner(Millis until) { this->nextPlannerTurn = until; }
 
-    // Records become durable later by this delay.
-    void delayRecords(Millis wait) { this->recordDelay = wait; }
+    // Records become durable this much later.
+    void delayRecords(Millis delay) { this->recordDelay = delay; }
 
     // Sets the duration that is reported to the planner for each round over all units, as by a
     // caller that measures rounds. After such a round, none is held for three times its duration.
-    void setRoundDuration(Millis time) { this->roundDuration = time; }
+    void setRoundDuration(Millis duration) { this->roundDuration = duration; }
 
     // Polls that remain after a turn are sent before the next one.
     void pollBetweenTurns() { this->pollsBetweenTurns = true; }
@@ -259,7 +259,7 @@
 
     std::optional<WorkerReport> executePoll(const PollOrder& order, std::int64_t term, Millis until);
 
-    void acknowledge(Worker& worker, std::int64_t through);
+    void acknowledge(Worker& worker, std::int64_t lastAcknowledged);
 
     std::int64_t countRunningMembers(const RunRef& run) const;
 
