--- a/src/tasks/advice.h
+++ b/src/tasks/advice.h
@@ -54,7 +54,7 @@
 
     std::vector<Incarnation> requestedWorkers; // The workers in the request that is in progress.
     Millis notBefore { 0 }; // The earliest time of the next request.
-    std::int64_t lastPass { 0 }; // The last pass over all steps in which a request for this step was sent.
+    std::int64_t lastPass { 0 }; // The last pass over all steps in which a full round sent a request for this step.
 
 private:
     struct Verdict {
--- a/src/tasks/crash_history.cc
+++ b/src/tasks/crash_history.cc
@@ -1,6 +1,6 @@
-// A job is given up after two proven crashes, since a job that is reported as failed must
-// have failed. But no task may be started a third time after its third crash, so by then it
-// is given up without proof.
+// A job is normally given up only after two proven crashes, since a job that is reported as
+// failed must have failed. However, a task may run at most twice more after its third crash.
+// After these runs its job is given up even if no crash is proven.
 
 #include "tasks/crash_history.h"
 
--- a/src/tasks/crash_history.h
+++ b/src/tasks/crash_history.h
@@ -7,7 +7,7 @@
 //     CrashHistory crashes;
 //     crashes.add({ .run = 1, .task = 0, .evidence = CrashEvidence::Early });
 //     if (crashes.shouldGiveUp(unit.run)) ... // Two crashes, if the second run was alone on its worker;
-//                                             // three, if two were early; or two runs after any three.
+//                                             // three, if two were early; or any three and two more runs.
 //
 // Crashes are identified by run and task, since a planner that takes over may detect the
 // same crash again. Each member of a gang is a separate task: crashes of the workers of
--- a/src/tasks/eviction.cc
+++ b/src/tasks/eviction.cc
@@ -52,7 +52,7 @@
             std::int64_t placed { 0 };
             bool hasVictims { false }; // Whether `victims` is filled in.
             std::vector<Victim> victims; // The runs that may be stopped, in ascending order of cost.
-            bool isCostCurrent { false }; // Whether the members below are up to date.
+            bool isCostCurrent { false }; // Whether the fields below are up to date.
             bool isFeasible { false };
             double cost { 0 };
             std::vector<const UnitKey*> unitsToStop;
@@ -153,8 +153,8 @@
         EvictionPlan plan;
     };
 
-    // The sets of workers that can each hold the whole unit: one per rack if the unit needs
-    // a single rack, else one with all workers.
+    // The sets of workers to search. A plan places the whole unit within one of them: there is
+    // one set per rack if the unit needs a single rack, else one with all workers.
     std::vector<WorkerIndices> workerSetsFor(const Snapshot& snapshot, const PlacementRequest& request)
     {
         const bool oneRack = request.rack.empty() && request.sameRack && request.members > 1;
--- a/src/tasks/job_table.h
+++ b/src/tasks/job_table.h
@@ -38,7 +38,8 @@
     };
 
     // Applies a record and returns the change to the table, if any: none for a record that
-    // is unreadable, repeated or older than a known one. An empty value removes the record.
+    // is unreadable, repeated or older than a known one. An empty value is no change either;
+    // that of a job record removes the job from the table.
     std::optional<Change> apply(std::string_view key, std::string_view value, std::int64_t offset, Millis now);
 
     // Returns null if there is no such job.
--- a/src/tasks/placement.cc
+++ b/src/tasks/placement.cc
@@ -272,7 +272,7 @@
 {
     return std::any_of(this->requests.begin(), this->requests.end(), [&](const PlacementRequest& failed) {
         // Units whose data is in the rack can use workers that are reserved for urgent
-        // units, so the request for any rack may have searched fewer workers.
+        // units, so a failed request without a rack may have searched fewer workers.
         const bool sameWorkers = failed.rack == request.rack || (failed.rack.empty() && request.urgent);
         const bool looser = sameWorkers && (!failed.sameRack || request.sameRack || !request.rack.empty());
         return failed.urgent == request.urgent && failed.members <= request.members && failed.perMember.fitsIn(request.perMember) && looser
--- a/src/tasks/placement.h
+++ b/src/tasks/placement.h
@@ -82,7 +82,7 @@
     double maxSpeed { 100 }; // Faster workers are skipped.
 };
 
-// The worker of each member, as an index into Snapshot::workers.
+// The worker of each member, in the order of the members, as an index into Snapshot::workers.
 using Placement = std::vector<std::size_t>;
 
 // The requests of a round for which no placement was found. A request for as much or
--- a/src/tasks/planner_limits.h
+++ b/src/tasks/planner_limits.h
@@ -9,7 +9,7 @@
 namespace rattan::tasks::detail {
 
 // The delay between two runs of a task that failed. Without it, a worker that fails
-// immediately would get the same task in a tight loop until it is distrusted.
+// immediately would get the same task in a tight loop until it is quarantined.
 inline constexpr Millis retryDelay = 100;
 
 // How long a worker may hold a poll open until a run ends. This is the maximum that workers
--- a/src/tasks/queue_order.h
+++ b/src/tasks/queue_order.h
@@ -20,8 +20,8 @@
     bool guaranteed { false }; // The unit is within its workspace's guarantee.
     std::int64_t priority { 0 };
     Millis waitingSince { 0 }; // When the caller began to wait for the job.
-    Millis remainingRunTime { 0 };
-    Millis criticalPath { 0 }; // The run time of the longest chain of dependent steps of its job.
+    Millis remainingRunTime { 0 }; // Expected, without the part that its checkpoint covers.
+    Millis criticalPath { 0 }; // The run time of the longest chain of dependent steps of its job; the planner passes that of the unit's own step.
     double stretch { 1 };
     Millis latencyTarget { 0 };
 };
--- a/src/tasks/round_pacer.cc
+++ b/src/tasks/round_pacer.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-    // The pause after a round before the next one of its kind, in multiples of the round's
-    // duration.
+    // The pauses in multiples of the duration of the last round: from a full round to the next
+    // full one, and from any round to the next urgent one.
     constexpr int fullPauseFactor = 3;
     constexpr int urgentPauseFactor = 1;
 
--- a/src/tasks/round_pacer.h
+++ b/src/tasks/round_pacer.h
@@ -35,7 +35,8 @@
     // Reports a change that a round may react to.
     void markChanged();
 
-    // Requests a full round at this time, when more may be possible for a waiting unit.
+    // Requests a full round no later than this time, because more may then be possible for a
+    // waiting unit. The pauses between rounds still apply.
     void scheduleBy(Millis);
 
     RoundKind next(Millis now, bool urgentWaits) const;
--- a/src/tasks/testing/placement_reference_test.cc
+++ b/src/tasks/testing/placement_reference_test.cc
@@ -1,4 +1,4 @@
-// Compares optimized searches with exhaustive ones.
+// Compares the optimized searches with simple reference searches over all workers and runs.
 
 #include "tasks/eviction.h"
 #include "tasks/placement.h"
--- a/src/tasks/wait_reason.h
+++ b/src/tasks/wait_reason.h
@@ -33,7 +33,7 @@
     Silent, // The last call had no answer.
     Resting, // A late poll could still acknowledge ends there that were never read.
     Doubted, // Its whole failure domain may be cut off.
-    Distrusted, // Runs have failed or stalled there repeatedly.
+    Distrusted, // Quarantined, since two runs in a row failed there or one stalled.
     NotPolled, // It has not answered a poll of this term yet.
 };
 
--- a/src/tasks/worker.cc
+++ b/src/tasks/worker.cc
@@ -19,7 +19,8 @@
 bool settlesEarlierAttempts(StartAnswer answer) { return answer == StartAnswer::Started || answer == StartAnswer::OtherIncarnation || answer == StartAnswer::Superseded; }
 
 // The first attempt may still be carried out late, also by a later incarnation. The planner
-// handles that for each attempt whose answer is NoAnswer, and sends the start again.
+// guards against that only where it knows of an attempt without an answer, so most answers are
+// reported as NoAnswer. It then sends the start again and gets the worker's actual answer.
 StartAnswer answerToRepeatedStart(StartAnswer answer)
 {
     return answer == StartAnswer::OtherIncarnation || answer == StartAnswer::Deposed ? answer : StartAnswer::NoAnswer;
--- a/src/tasks/worker_health.h
+++ b/src/tasks/worker_health.h
@@ -20,6 +20,8 @@
     // True if a run may start there. While probing, that is one run at a time: `noRun` is true
     // if none has started since the quarantine ended.
     bool canTakeRun(Millis now, bool noRun) const;
+
+    // True from the start of a quarantine until a run succeeds.
     bool isProbing() const { return this->consecutiveFailures >= failuresToQuarantine; }
 
     // The end of the last quarantine, or 0 if a run has succeeded since.
--- a/src/tasks/worker_speeds.h
+++ b/src/tasks/worker_speeds.h
@@ -28,7 +28,8 @@
         Millis duration { 0 };
     };
 
-    // Adds tasks of one step that ran on their own, from the beginning to their end.
+    // Adds single tasks of one step, not members of a gang, that ran from the beginning to their
+    // end. Has no effect for fewer than three tasks.
     void addSiblingRuns(const std::vector<Sample>&);
 
     // Adds a gang, or a single task, that ran from the beginning to its end.
