--- a/src/tasks/task_planner.cc
+++ b/src/tasks/task_planner.cc
@@ -78,7 +78,7 @@
         const std::vector<StepState>& steps = active.occurrences.at(number).steps;
         if (!std::all_of(steps.begin(), steps.end(), [](const StepState& step) { return step.done; }))
             continue;
-        active.occurrences.erase(number); // It has no unit left whose end would complete it.
+        active.occurrences.erase(number); // No unit is left whose end would complete the occurrence.
         active.doneOutOfOrder.insert(number);
     }
     for (const UnitProgress& progress : plan.units) {
@@ -189,7 +189,7 @@
             ++state.unitsLeft;
             this->addUnit(active, { active.job->id, number, stepIndex, index }, now);
         }
-        // An earlier planner completed all units of the step; later steps may begin.
+        // No unit is left if an earlier planner completed them all; then later steps may begin.
         state.done = state.unitsLeft == 0;
     }
 }
--- a/src/tasks/task_planner.h
+++ b/src/tasks/task_planner.h
@@ -6,7 +6,7 @@
 //
 //     TaskPlanner planner({ .maxLease = 10000 }, jobs, plans, now, wall);
 //     planner.applyCatalog(catalog);
-//     planner.workersListed(sightings, now);                       // whenever the list is read
+//     planner.workersListed(workers, now);                         // whenever the list is read
 //     planner.jobAccepted(job, now, wall);                         // from the log, as are cancels
 //     planner.pollAnswered(worker, sentAt, concurrent, poll, now); // and other answers
 //     planner.step(now, wall);
@@ -15,8 +15,8 @@
 // Safety properties:
 //  * A run is recorded, with its workers, before its first start is sent, so a planner that
 //    takes over knows every run that can exist.
-//  * A worker's state is unknown until it has answered a poll of this term; from then on it
-//    refuses orders of earlier terms.
+//  * Nothing is assumed about a worker until it has answered a poll of this term; from then
+//    on it refuses orders of earlier terms.
 //  * An unanswered start keeps its resources and its task reserved until a poll lists the
 //    run, or shows that a stop arrived first, or every lease on the worker has expired.
 //  * A worker crash under a task is recorded with the task before the task starts again.
@@ -51,7 +51,7 @@
 
 struct PlannerOptions {
     Millis maxLease { 10000 }; // The duration of the lease that each poll and start grants.
-    Millis predecessorGrace { 1000 }; // How long the previous planner may continue to grant leases after this one has started.
+    Millis predecessorGrace { 1000 }; // How long the previous planner, considered dead, may still grant leases.
     Millis stopTimeout { 200 }; // The maximum time a worker takes to stop a run.
     bool hasAdviceService { false }; // Whether an advice service can be queried; otherwise placement policies of queues are ignored.
 };
@@ -91,7 +91,7 @@
     // Counts of the last step(), for the log event of a slow one.
     struct Round {
         RoundKind kind { RoundKind::None };
-        std::int64_t candidates { 0 }; // Waiting units.
+        std::int64_t candidates { 0 }; // Waiting units that the round visited.
         std::int64_t placed { 0 };
         std::int64_t searches { 0 }; // For resources that are free now or after pending stops.
         std::int64_t evictionSearches { 0 };
@@ -262,7 +262,7 @@
     std::set<UnitKey> waitingUnits;
     std::set<UnitKey> urgentWaitingUnits; // The waiting units of the highest priority.
     std::set<UnitKey> exhaustedUnits; // Units with too many crashes; their jobs fail at the next step.
-    std::set<UnitKey> isolatedUnits; // Suspect units that run on workers of their own.
+    std::set<UnitKey> isolatedUnits; // Suspect units that run only beside suspect units of the same job.
     std::map<std::string, Worker> workers; // By worker id; the newest incarnation of each.
     SuspectedDomains domainDoubts;
     RunTimes runTimes;
@@ -287,8 +287,8 @@
     std::map<StepKey, StepAdvice> adviceByStep; // For steps whose queue has a policy.
     std::vector<AdviceOrder> adviceOrders;
     int pendingAdviceRequests { 0 };
-    std::int64_t advicePass { 1 }; // Each step sends at most one advice request per pass.
-    bool hasDeferredAdvice { false }; // Whether a step of this round could not send its advice request.
+    std::int64_t advicePass { 1 }; // The current pass over all steps; each step sends at most one advice request per pass.
+    bool hasDeferredAdvice { false }; // Whether a step of this round couldn't send its advice request: too many were pending.
     std::vector<PlanEvent> events;
     std::map<PlanEventKind, std::size_t> eventCounts; // Of the events since the last takeOrders(), including dropped ones.
     std::int64_t completedUnitCount { 0 }; // Since the last UnitsDone event.
--- a/src/tasks/task_planner_advice.cc
+++ b/src/tasks/task_planner_advice.cc
@@ -67,8 +67,9 @@
     return true;
 }
 
-// Returns whether the unit can be placed on, or can wait for, the workers in `request.allowed`.
-// Otherwise requests advice on further workers, if a request can be sent now.
+// Returns whether the unit can be placed on, or can wait for, the workers in
+// `request.allowedWorkers`. Otherwise requests advice on further workers, if a request can be
+// sent now.
 bool TaskPlanner::resolveAdvice(const Unit& unit, const Snapshot& snapshot, PlacementRequest& request, Millis now)
 {
     StepAdvice& stepAdvice = this->adviceByStep[stepOf(unit.key)];
--- a/src/tasks/task_planner_crashes.cc
+++ b/src/tasks/task_planner_crashes.cc
@@ -22,8 +22,9 @@
 
 std::string_view detail::nameOf(RunLoss loss) { return runLossNames.at(static_cast<std::size_t>(loss)); }
 
-// Removes a run whose end will not be reported. The event lets the log distinguish a crash under
-// a task from an eviction, and shows how many runs the worker had.
+// Removes a run that is considered lost because its worker was replaced, restarted, or did not
+// answer until its lease expired. The event lets the log distinguish a crash under a task from an
+// eviction, and shows how many runs the worker had.
 void TaskPlanner::loseRun(Worker& worker, const RunRef& ref, RunLoss loss, Millis now)
 {
     const RunRef run = ref;
--- a/src/tasks/task_planner_evictions.cc
+++ b/src/tasks/task_planner_evictions.cc
@@ -22,8 +22,9 @@
     return weight * (unit.step().savesProgress ? restartSeconds : ran + restartSeconds);
 }
 
-// The lost work, weighted by the number of earlier evictions. Without the weight, a unit that has
-// just restarted would always be the cheapest and would be evicted again.
+// The lost work, weighted by the number of earlier evictions unless the unit saves its progress.
+// Without the weight, a unit that has just restarted would always be the cheapest and would be
+// evicted again.
 double TaskPlanner::evictionCost(const Unit& unit, Millis now) const
 {
     const double lost = this->lostWorkOf(unit, now);
@@ -77,8 +78,8 @@
     return true;
 }
 
-// Reports why a unit that may evict others evicted none, once per reason. Why an urgent unit
-// waited is the first question of an investigation.
+// Reports why a unit that may evict others evicted none, whenever the reason changes. Why an
+// urgent unit waited is the first question of an investigation.
 void TaskPlanner::reportEvictionRefusal(Unit& unit, EvictionRefusal refusal, double cost, double bound)
 {
     if (unit.reportedRefusal == refusal)
--- a/src/tasks/task_planner_polls.cc
+++ b/src/tasks/task_planner_polls.cc
@@ -25,8 +25,8 @@
 
 } // namespace
 
-// Whether a stop was answered since the last poll was sent: the next poll shows an end, or that
-// the run cannot start any more.
+// Whether a stop was answered, or a start refused as old, since the last poll was sent: the next
+// poll shows an end, or that the run cannot start any more.
 bool TaskPlanner::isEndExpected(const Worker& worker)
 {
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) { return row.second.startRuledOutAt > 0 && row.second.startRuledOutAt >= worker.pollSentAt; });
@@ -38,8 +38,8 @@
 }
 
 // Whether a poll is needed that does not wait for the pending one. The next poll settles a start
-// whose stop was answered, but the pending poll may be held open until a run ends, which would
-// delay the task.
+// that was refused as old or whose stop was answered, but the pending poll may be held open until
+// a run ends, which would delay the task.
 bool TaskPlanner::isConcurrentPollDue(const Worker& worker, Millis now) const
 {
     if (worker.quickPollInFlight)
@@ -63,11 +63,13 @@
     const bool ackDue = worker.durableUpTo > worker.acknowledgedUpTo && worker.ackDueBy > 0 && now >= worker.ackDueBy;
     if (isResponsive && !worker.needsLease() && !ackDue)
         return false;
-    // The worker would immediately answer again with an end that is not durable yet.
+    // Not while an end is not durable yet, since the worker would immediately answer with it again,
+    // unless the lease must be renewed.
     return !isResponsive || worker.handledUpTo <= worker.durableUpTo || now + this->options.maxLease / 2 >= worker.leaseEndsBy;
 }
 
-// Does not renew a lease that has expired: the poll then only requests the state of the runs.
+// Adds a poll of the worker. A lease that has expired is not renewed: the poll then only requests
+// the state of the runs.
 void TaskPlanner::addPoll(Worker& worker, Millis now, Orders& orders) const
 {
     const bool renewsLease = worker.hasAnswered && !worker.silent && worker.needsLease() && now < worker.leaseEndsBy;
--- a/src/tasks/task_planner_rounds.cc
+++ b/src/tasks/task_planner_rounds.cc
@@ -76,7 +76,7 @@
 Millis TaskPlanner::expectedEnd(const Unit& unit, Millis now) const
 {
     if (unit.step().longRunning)
-        return now + longRunningTime; // A serving task reports all of its work as done.
+        return now + longRunningTime; // A serving task reports all of its work as done while it continues to run.
     if (unit.startedAt == 0)
         return now + this->expectedRunTime(unit);
     const double done = unit.progress - unit.progressAtStart;
@@ -200,8 +200,8 @@
     return allocation;
 }
 
-// Whether a run that tests a distrusted worker is already there. Runs that were confirmed before
-// the end of the distrust don't count: they are no test, and may be long-running.
+// Whether a run that tests the worker after its quarantine is already there. Runs that were
+// confirmed before the quarantine ended don't count: they are no test, and may be long-running.
 bool TaskPlanner::hasTrialRun(const Worker& worker)
 {
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) {
@@ -328,8 +328,10 @@
     std::map<std::string, FailedRequests> failedRequests;
     int evictionSearches = 0;
     this->hasDeferredAdvice = false;
-    const UnitKey* blockedStep = nullptr; // A unit of a step that could not be placed although it avoids no worker.
-    const UnitKey* countedStep = nullptr; // A unit of the step that `siblings` was counted for.
+    // Both identify a step by one of its units: a step of which a unit that excludes no worker could
+    // not be placed, and the step that `siblings` was counted for.
+    const UnitKey* blockedStep = nullptr;
+    const UnitKey* countedStep = nullptr;
     WorkerCounts siblings;
     for (Candidate& candidate : candidates) {
         Unit& unit = *candidate.unit;
@@ -365,7 +367,7 @@
         unit.waitReason = WaitReason::NoAdvice;
         if (hasPolicy && !this->resolveAdvice(unit, snapshot->second, request, now))
             continue;
-        // Drops rack preferences that no set of workers can satisfy.
+        // Rack preferences that no set of workers can satisfy are dropped, not waited for.
         if ((!request.rack.empty() || request.sameRack) && !snapshot->second.fitsWhenEmpty(request)) {
             request.rack.clear();
             request.sameRack = false;
@@ -384,10 +386,12 @@
             continue;
         }
         unit.waitReason = WaitReason::NoWorkerForIsolation;
+        // A unit that needs isolation evicts nothing, gets no reservation and does not block its
+        // siblings, which may find a place.
         if (!request.isolatedJob.empty())
-            continue; // Isolation gets no eviction and no reservation, and does not block its siblings.
-        // Eviction loses work. Idle workers that have not answered a planner which has just
-        // taken over do so within a fraction of a second.
+            continue;
+        // Eviction loses work, so a unit that fits on idle workers not polled yet waits instead:
+        // after a takeover they answer within a fraction of a second.
         const bool hasUnpolledRoom = !snapshot->second.unpolled.empty() && snapshot->second.fitsOnUnpolledWorkers(request);
         if (couldFit && !hasUnpolledRoom && evictionSearches < maxEvictionSearches && this->canEvict(candidate, now)) {
             ++evictionSearches;
