--- a/src/tasks/testing/task_planner_test.cc
+++ b/src/tasks/testing/task_planner_test.cc
@@ -155,8 +155,8 @@
         assertNoViolations(site);
     }
 
-    // Guards against a guaranteed job that waits for the end of others' tasks. All workers are
-    // occupied by patient tasks when it arrives.
+    // Guards against a guaranteed job that waits for the end of others' tasks although its workspace
+    // is guaranteed the accelerators. All workers are occupied by patient tasks when it arrives.
     void guaranteedJobEvictsPatientTasks()
     {
         VirtualSite site({ .seed = 7, .failures = 0 });
@@ -317,9 +317,9 @@
         assertNoViolations(site);
     }
 
-    // Guards against a failure domain that is cut off and delays one urgent job per worker. A job
-    // whose start went there cannot start elsewhere before the lease expires, and is late; at most
-    // two jobs may be.
+    // Guards against a failure domain that is cut off while urgent jobs keep arriving, and delays
+    // one job per worker. A job whose start went there cannot start elsewhere before the lease
+    // expires, and is late; at most two jobs may be late.
     void unreachableDomainDelaysAtMostTwoJobs()
     {
         VirtualSite site({ .seed = 1, .failures = 0 });
@@ -372,8 +372,9 @@
         assertNoViolations(site);
     }
 
-    // Guards against a gang that restarts for each lost message. The network loses one order in ten
-    // or its answer, so more than half of the gangs of eight lose the start of a member.
+    // Guards against an urgent gang that is late because it restarts for each lost message. The
+    // network loses one order in ten or its answer, so more than half of the gangs of eight lose the
+    // start of a member.
     void lostStartIsRepeated()
     {
         std::int64_t runs = 0;
@@ -506,7 +507,8 @@
     }
 
     // Guards against needless evictions after a takeover. Busy workers are polled first, so an urgent
-    // job that arrives then finds all known workers occupied although most workers are idle.
+    // job that arrives then finds all known workers occupied although most workers are idle. If it
+    // evicted patient tasks, their work would be lost.
     void noEvictionBeforeIdleWorkersArePolled()
     {
         constexpr int workers = 200;
@@ -574,7 +576,9 @@
         site.newPlanner();
         Job longRunningJob = makeJob("j1", 2, oneAccelerator, 1000);
         longRunningJob.steps.front().longRunning = true;
-        longRunningJob.terms.maxAttempts = 1000; // Long-running tasks have no limit of attempts, but the site checks it.
+        // The planner doesn't limit the attempts of long-running tasks, but VirtualSite checks
+        // maxAttempts of every job.
+        longRunningJob.terms.maxAttempts = 1000;
         site.submit(longRunningJob);
         site.run(15000);
         CPPUNIT_ASSERT(site.stateOf("j1") == JobState::Running);
