--- a/src/tasks/task_planner_orders.cc
+++ b/src/tasks/task_planner_orders.cc
@@ -48,9 +48,9 @@
     return progress;
 }
 
-// Whether changes, if there are any, must be recorded now. Starts and final states are recorded immediately
-// because other components wait for them. An end after which its job continues can wait, so that
-// several ends share one record: every instance has to read each record.
+// Whether changes, if there are any, must be recorded now. Starts and final states are recorded
+// immediately because other components wait for them. An end after which its job continues can
+// wait, so that several ends share one record: every instance has to read each record.
 bool TaskPlanner::isRecordDue(Millis now)
 {
     if (!this->jobsToForget.empty())
--- a/src/tasks/task_planner_polls.cc
+++ b/src/tasks/task_planner_polls.cc
@@ -25,8 +25,8 @@
 
 } // namespace
 
-// Whether a stop was answered, or a start refused as old, since the last poll was sent: the next
-// poll shows an end, or that the run cannot start any more.
+// Whether a stop was answered, or a start refused as superseded, since the last poll was sent: the
+// next poll shows an end, or that the run cannot start any more.
 bool TaskPlanner::isEndExpected(const Worker& worker)
 {
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) { return row.second.startRuledOutAt > 0 && row.second.startRuledOutAt >= worker.pollSentAt; });
@@ -38,8 +38,8 @@
 }
 
 // Whether a poll is needed that does not wait for the pending one. The next poll settles a start
-// that was refused as old or whose stop was answered, but the pending poll may be held open until
-// a run ends, which would delay the task.
+// that was refused as superseded or whose stop was answered, but the pending poll may be held open
+// until a run ends, which would delay the task.
 bool TaskPlanner::isConcurrentPollDue(const Worker& worker, Millis now) const
 {
     if (worker.quickPollInFlight)
--- a/src/tasks/testing/task_planner_polls_test.cc
+++ b/src/tasks/testing/task_planner_polls_test.cc
@@ -124,7 +124,7 @@
         }
         CPPUNIT_ASSERT(isAcknowledging);
 
-        // A start that is refused as old causes a concurrent poll, which shows the restart.
+        // A start that is refused as superseded causes a concurrent poll, which shows the restart.
         this->submit("next");
         planner.jobAccepted(this->table.find("next")->job, this->now, this->now);
         bool restartShown = false;
--- a/src/tasks/testing/task_planner_test.cc
+++ b/src/tasks/testing/task_planner_test.cc
@@ -342,7 +342,7 @@
     }
 
     // Guards against a task that runs twice: the answer to its start is lost, the run ends, and the
-    // repeated start is refused as old.
+    // repeated start is refused as superseded.
     void repeatedStartDoesNotRestartEndedRun()
     {
         VirtualSite site({ .seed = 59, .failures = 0 });
