--- a/src/bin/rattan_entry.cc
+++ b/src/bin/rattan_entry.cc
@@ -13,11 +13,11 @@
 namespace {
 
     // All faults of a text in one message, each with its place.
-    Result<config::Text> parseText(const std::string& yaml)
+    Result<config::Configuration> parseText(const std::string& yaml)
     {
         config::ParseOutcome outcome = config::parse(yaml);
-        if (outcome.text)
-            return std::move(*outcome.text);
+        if (outcome.configuration)
+            return std::move(*outcome.configuration);
         std::vector<std::string> faults;
         for (const config::Fault& fault : outcome.faults)
             faults.push_back(config::describe(fault));
--- a/src/config/check_guarantees.cc
+++ b/src/config/check_guarantees.cc
@@ -21,38 +21,38 @@
     };
 
     struct Domain {
-        std::vector<RackRoom> racks;
+        std::vector<RackCapacity> racks;
         std::int64_t workers { 0 };
         std::int64_t accelerators { 0 };
     };
 
-    void fault(ReadState& state, const std::string& path, std::string message, std::string accepted)
+    void addFault(ParseState& state, const std::string& path, std::string message, std::string accepted)
     {
-        state.faults.push_back({ state.places[path], path, std::move(message), std::move(accepted) });
+        state.faults.push_back({ state.positions[path], path, std::move(message), std::move(accepted) });
     }
 
-    std::vector<Shape> shapesOf(const Text& text)
+    std::vector<Shape> shapesOf(const Configuration& configuration)
     {
         std::vector<Shape> shapes;
-        for (std::size_t i = 0; i < text.workspaces.size(); ++i) {
-            const Workspace& workspace = text.workspaces[i];
+        for (std::size_t i = 0; i < configuration.workspaces.size(); ++i) {
+            const Workspace& workspace = configuration.workspaces[i];
             for (std::size_t j = 0; j < workspace.guarantees.size(); ++j)
                 shapes.push_back({ fmt::format("workspaces[{}].guarantees[{}]", i, j), &workspace, &workspace.guarantees[j] });
         }
         return shapes;
     }
 
-    std::map<std::string, Domain> domainsOf(const Text& text, ReadState& state)
+    std::map<std::string, Domain> domainsOf(const Configuration& configuration, ParseState& state)
     {
         std::map<std::string, Domain> domains;
-        for (std::size_t i = 0; i < text.workers.size(); ++i) {
-            const WorkerPool& pool = text.workers[i];
+        for (std::size_t i = 0; i < configuration.workers.size(); ++i) {
+            const WorkerPool& pool = configuration.workers[i];
             Domain& domain = domains[pool.domain];
             domain.workers += pool.racks * pool.workersPerRack;
             domain.accelerators += pool.racks * pool.workersPerRack * pool.accelerators;
-            if (domain.workers > maximumWorkersPerDomain) {
-                fault(state, fmt::format("workers[{}]", i), fmt::format("failure domain '{}' has {} workers up to here", pool.domain, domain.workers),
-                    fmt::format("at most {} workers in a failure domain", maximumWorkersPerDomain));
+            if (domain.workers > maxWorkersPerDomain) {
+                addFault(state, fmt::format("workers[{}]", i), fmt::format("failure domain '{}' has {} workers up to here", pool.domain, domain.workers),
+                    fmt::format("at most {} workers in a failure domain", maxWorkersPerDomain));
                 return {};
             }
             for (std::int64_t rack = 0; rack < pool.racks; ++rack)
@@ -61,7 +61,7 @@
         return domains;
     }
 
-    Fit fitsUpTo(const Domain& domain, const std::vector<Shape>& shapes, std::size_t count, SearchBudget& budget)
+    Fit tryFirstShapes(const Domain& domain, const std::vector<Shape>& shapes, std::size_t count, SearchBudget& budget)
     {
         std::vector<Piece> pieces;
         for (std::size_t i = 0; i < count; ++i) {
@@ -80,45 +80,45 @@
     // The shape with which a domain is full, if it is.
     struct Overflow {
         std::optional<std::size_t> shape;
-        bool isProved { false };
+        bool isProven { false };
     };
 
     Overflow findOverflow(const Domain& domain, const std::vector<Shape>& shapes, SearchBudget& budget)
     {
-        Fit fit = fitsUpTo(domain, shapes, shapes.size(), budget);
+        Fit fit = tryFirstShapes(domain, shapes, shapes.size(), budget);
         if (fit == Fit::Fits)
             return {};
-        std::size_t fitting = 0;
-        std::size_t failing = shapes.size();
-        while (failing - fitting > 1) {
-            const std::size_t middle = fitting + (failing - fitting) / 2;
-            const Fit half = fitsUpTo(domain, shapes, middle, budget);
-            if (half == Fit::Fits) {
-                fitting = middle;
+        std::size_t fittingCount = 0;
+        std::size_t failingCount = shapes.size();
+        while (failingCount - fittingCount > 1) {
+            const std::size_t middle = fittingCount + (failingCount - fittingCount) / 2;
+            const Fit fitOfMiddle = tryFirstShapes(domain, shapes, middle, budget);
+            if (fitOfMiddle == Fit::Fits) {
+                fittingCount = middle;
                 continue;
             }
-            failing = middle;
-            fit = half;
+            failingCount = middle;
+            fit = fitOfMiddle;
         }
-        return { failing - 1, fit == Fit::DoesNotFit };
+        return { failingCount - 1, fit == Fit::DoesNotFit };
     }
 
-    void report(const std::string& name, const Domain& domain, const Shape& shape, bool isProved, ReadState& state)
+    void reportOverflow(const std::string& name, const Domain& domain, const Shape& shape, bool isProven, ParseState& state)
     {
-        fault(state, shape.path,
+        addFault(state, shape.path,
             fmt::format("{} {} failure domain '{}' together with the guarantees before it", describe(shape),
-                isProved ? "does not fit into" : "could not be shown to fit into", name),
+                isProven ? "does not fit into" : "could not be shown to fit into", name),
             fmt::format("guarantees that fit at once on its {} workers in {} racks with {} accelerators", domain.workers, domain.racks.size(),
                 domain.accelerators));
     }
 
-    bool pieceCountIsBounded(const std::vector<Shape>& shapes, ReadState& state)
+    bool isPieceCountBounded(const std::vector<Shape>& shapes, ParseState& state)
     {
         std::int64_t pieces = 0;
         for (const Shape& shape : shapes) {
             pieces += shape.shape->count;
-            if (pieces > maximumPieces) {
-                fault(state, shape.path, fmt::format("the guarantees have {} pieces up to here", pieces), fmt::format("at most {} pieces in all", maximumPieces));
+            if (pieces > maxPieces) {
+                addFault(state, shape.path, fmt::format("the guarantees have {} pieces up to here", pieces), fmt::format("at most {} pieces in all", maxPieces));
                 return false;
             }
         }
@@ -127,15 +127,15 @@
 
     // A workspace that may not run what it is guaranteed would be promised
     // something that can never be kept.
-    void checkLimits(const Text& text, ReadState& state)
+    void checkAcceleratorLimits(const Configuration& configuration, ParseState& state)
     {
-        for (std::size_t i = 0; i < text.workspaces.size(); ++i) {
-            const Workspace& workspace = text.workspaces[i];
+        for (std::size_t i = 0; i < configuration.workspaces.size(); ++i) {
+            const Workspace& workspace = configuration.workspaces[i];
             std::int64_t guaranteed = 0;
             for (const GuaranteedShape& shape : workspace.guarantees)
                 guaranteed += shape.count * shape.accelerators;
-            if (workspace.mostAccelerators > 0 && guaranteed > workspace.mostAccelerators) {
-                fault(state, fmt::format("workspaces[{}].most_accelerators", i), fmt::format("{} is below the {} that are guaranteed", workspace.mostAccelerators, guaranteed),
+            if (workspace.maxAccelerators > 0 && guaranteed > workspace.maxAccelerators) {
+                addFault(state, fmt::format("workspaces[{}].most_accelerators", i), fmt::format("{} is below the {} that are guaranteed", workspace.maxAccelerators, guaranteed),
                     "0 for no limit, or at least what is guaranteed");
             }
         }
@@ -143,21 +143,21 @@
 
 } // namespace
 
-void checkGuarantees(const Text& text, ReadState& state)
+void checkGuarantees(const Configuration& configuration, ParseState& state)
 {
-    checkLimits(text, state);
-    const std::map<std::string, Domain> domains = domainsOf(text, state);
-    const std::vector<Shape> shapes = shapesOf(text);
-    if (shapes.empty() || !pieceCountIsBounded(shapes, state))
+    checkAcceleratorLimits(configuration, state);
+    const std::map<std::string, Domain> domains = domainsOf(configuration, state);
+    const std::vector<Shape> shapes = shapesOf(configuration);
+    if (shapes.empty() || !isPieceCountBounded(shapes, state))
         return;
     SearchBudget budget;
-    std::map<std::vector<RackRoom>, Overflow> known; // Domains alike are searched once.
+    std::map<std::vector<RackCapacity>, Overflow> overflowByRacks; // Domains alike are searched once.
     for (const auto& [name, domain] : domains) {
-        const auto [entry, isNew] = known.try_emplace(domain.racks);
+        const auto [entry, isNew] = overflowByRacks.try_emplace(domain.racks);
         if (isNew)
             entry->second = findOverflow(domain, shapes, budget);
         if (entry->second.shape)
-            report(name, domain, shapes[*entry->second.shape], entry->second.isProved, state);
+            reportOverflow(name, domain, shapes[*entry->second.shape], entry->second.isProven, state);
     }
 }
 
--- a/src/config/checks.h
+++ b/src/config/checks.h
@@ -9,12 +9,12 @@
 namespace rattan::config {
 
 // Guaranteed pieces that one text may name in all, and workers of one domain.
-inline constexpr std::int64_t maximumPieces = 4096;
-inline constexpr std::int64_t maximumWorkersPerDomain = 4096;
+inline constexpr std::int64_t maxPieces = 4096;
+inline constexpr std::int64_t maxWorkersPerDomain = 4096;
 
-void checkNames(const Text&, ReadState&);
-void checkDependencies(const Text&, ReadState&);
-void checkTokens(const Text&, ReadState&);
-void checkGuarantees(const Text&, ReadState&);
+void checkNames(const Configuration&, ParseState&);
+void checkDependencies(const Configuration&, ParseState&);
+void checkTokens(const Configuration&, ParseState&);
+void checkGuarantees(const Configuration&, ParseState&);
 
 } // namespace rattan::config
--- a/src/config/names.cc
+++ b/src/config/configuration.cc
@@ -1,4 +1,4 @@
-#include "config/text.h"
+#include "config/configuration.h"
 
 #include <array>
 
--- a/src/config/text.h
+++ b/src/config/configuration.h
@@ -68,8 +68,8 @@
     std::string name;
     std::string tokenSha256; // 64 hex digits.
     std::vector<GuaranteedShape> guarantees;
-    std::int64_t mostAccelerators { 0 }; // Running at once in one domain; 0: no limit.
-    std::int64_t mostQueuedJobs { 2000 };
+    std::int64_t maxAccelerators { 0 }; // Running at once in one domain; 0: no limit.
+    std::int64_t maxQueuedJobs { 2000 };
     std::int64_t requestsPerSecond { 200 };
 };
 
@@ -88,7 +88,7 @@
     std::int64_t memoryMb { 131072 };
 };
 
-struct Text {
+struct Configuration {
     std::int64_t format { 1 };
     std::string name;
     std::vector<Operator> operators;
--- a/src/config/fault.h
+++ b/src/config/fault.h
@@ -24,7 +24,7 @@
 using Faults = std::vector<Fault>;
 
 // More faults than this are counted in a last one and not listed.
-inline constexpr std::size_t maximumFaults = 100;
+inline constexpr std::size_t maxFaults = 100;
 
 // "line 12, column 5: workspaces[2].name: ... (accepted: ...)"
 std::string describe(const Fault&);
--- a/src/config/keys.cc
+++ b/src/config/keys.cc
@@ -32,13 +32,13 @@
 {
     using enum Section;
     static const std::vector<Key> keys {
-        { Text, "format", ValueKind::Number, true, 1, 1 },
-        { Text, "name", ValueKind::Name, true, 0, 0 },
-        { Text, "operators", ValueKind::Items, true, 1, 200 },
-        { Text, "workers", ValueKind::Items, true, 1, 1000 },
-        { Text, "services", ValueKind::Items, false, 0, 500 },
-        { Text, "job_classes", ValueKind::Items, false, 0, 500 },
-        { Text, "workspaces", ValueKind::Items, true, 1, 2000 },
+        { TopLevel, "format", ValueKind::Number, true, 1, 1 },
+        { TopLevel, "name", ValueKind::Name, true, 0, 0 },
+        { TopLevel, "operators", ValueKind::Items, true, 1, 200 },
+        { TopLevel, "workers", ValueKind::Items, true, 1, 1000 },
+        { TopLevel, "services", ValueKind::Items, false, 0, 500 },
+        { TopLevel, "job_classes", ValueKind::Items, false, 0, 500 },
+        { TopLevel, "workspaces", ValueKind::Items, true, 1, 2000 },
         { Operators, "name", ValueKind::Name, true, 0, 0 },
         { Operators, "token_sha256", ValueKind::Digest, true, 0, 0 },
         { Workers, "domain", ValueKind::Name, true, 0, 0 },
@@ -83,21 +83,21 @@
     throw std::logic_error(fmt::format("no key {} in section {}", name, nameOf(section)));
 }
 
-std::string acceptedBy(const Key& key)
+std::string describeAccepted(const Key& key)
 {
     switch (key.kind) {
     case ValueKind::Name:
-        return fmt::format("a name of lower-case letters, digits and inner hyphens, at most {} bytes", maximumNameBytes);
+        return fmt::format("a name of lower-case letters, digits and inner hyphens, at most {} bytes", maxNameBytes);
     case ValueKind::Names:
-        return fmt::format("a list of at most {} names", key.highest);
+        return fmt::format("a list of at most {} names", key.max);
     case ValueKind::Digest:
         return "64 hex digits: the SHA-256 of the token";
     case ValueKind::Number:
-        return key.lowest == key.highest ? fmt::format("{}", key.lowest) : fmt::format("a whole number from {} to {}", key.lowest, key.highest);
+        return key.min == key.max ? fmt::format("{}", key.min) : fmt::format("a whole number from {} to {}", key.min, key.max);
     case ValueKind::Duration:
-        return fmt::format("a duration from {} to {}, in ms, s, m or h, like 30s", durationText(key.lowest), durationText(key.highest));
+        return fmt::format("a duration from {} to {}, in ms, s, m or h, like 30s", durationText(key.min), durationText(key.max));
     case ValueKind::Memory:
-        return fmt::format("memory from {}MiB to {}TiB, in MB, GB, TB, MiB, GiB or TiB, like 64GiB", key.lowest, key.highest / terabyte);
+        return fmt::format("memory from {}MiB to {}TiB, in MB, GB, TB, MiB, GiB or TiB, like 64GiB", key.min, key.max / terabyte);
     case ValueKind::Flag:
         return "true or false";
     case ValueKind::Urgency:
@@ -105,12 +105,12 @@
     case ValueKind::Adjacency:
         return "worker, rack or domain";
     case ValueKind::Items:
-        return fmt::format("a list of {} to {} maps", key.lowest, key.highest);
+        return fmt::format("a list of {} to {} maps", key.min, key.max);
     }
     return {};
 }
 
-std::string namesOfKeys(Section section)
+std::string joinKeyNames(Section section)
 {
     std::vector<std::string_view> names;
     for (const Key& key : allKeys()) {
--- a/src/config/keys.h
+++ b/src/config/keys.h
@@ -11,7 +11,7 @@
 namespace rattan::config {
 
 enum class Section {
-    Text, // The top level.
+    TopLevel, // The top level.
     Operators, // One item of the list of that name; likewise below.
     Workers,
     Services,
@@ -42,8 +42,8 @@
     std::string_view name;
     ValueKind kind;
     bool required;
-    std::int64_t lowest; // In milliseconds for durations, MiB for memory.
-    std::int64_t highest;
+    std::int64_t min; // In milliseconds for durations, MiB for memory.
+    std::int64_t max;
 };
 
 const std::vector<Key>& allKeys();
@@ -52,11 +52,11 @@
 const Key& keyOf(Section, std::string_view name);
 
 // What values the key takes, as shown to operators.
-std::string acceptedBy(const Key&);
+std::string describeAccepted(const Key&);
 
 // "a, b, c"
-std::string namesOfKeys(Section);
+std::string joinKeyNames(Section);
 
-inline constexpr std::size_t maximumNameBytes = 63;
+inline constexpr std::size_t maxNameBytes = 63;
 
 } // namespace rattan::config
--- a/src/config/ledger.cc
+++ b/src/config/ledger.cc
@@ -17,21 +17,21 @@
 
 namespace {
 
-    constexpr std::int64_t highestVersion = std::int64_t { 1 } << 52;
-    constexpr std::size_t longestId = 256;
+    constexpr std::int64_t maxVersion = std::int64_t { 1 } << 52;
+    constexpr std::size_t maxIdBytes = 256;
 
-    Verdict ignored(std::string reason) { return { VerdictKind::Ignored, 0, {}, std::move(reason) }; }
+    PublishOutcome ignored(std::string reason) { return { OutcomeKind::Ignored, 0, {}, std::move(reason) }; }
 
     Result<Publication> parsePublication(const Json& record)
     {
         JsonReader reader(record, "config.publish");
         reader.allowUnknown();
         Publication publication;
-        publication.amends = reader.number("amends", 0, highestVersion);
-        publication.yaml = reader.text("text", 1, maximumTextBytes);
-        publication.author = reader.textOr("author", "", longestId);
-        publication.id = reader.textOr("publication", "", longestId);
-        if (reader.number("version", 1, highestVersion) != publication.amends + 1)
+        publication.amends = reader.number("amends", 0, maxVersion);
+        publication.yaml = reader.text("text", 1, maxConfigurationBytes);
+        publication.author = reader.textOr("author", "", maxIdBytes);
+        publication.id = reader.textOr("publication", "", maxIdBytes);
+        if (reader.number("version", 1, maxVersion) != publication.amends + 1)
             reader.fault("version must be one above amends");
         return reader.finish(std::move(publication));
     }
@@ -41,15 +41,15 @@
         JsonReader reader(record, "config.restate");
         reader.allowUnknown();
         Checkpoint checkpoint;
-        checkpoint.number = reader.number("version", 1, highestVersion);
-        checkpoint.yaml = reader.text("text", 1, maximumTextBytes);
-        checkpoint.author = reader.textOr("author", "", longestId);
+        checkpoint.number = reader.number("version", 1, maxVersion);
+        checkpoint.yaml = reader.text("text", 1, maxConfigurationBytes);
+        checkpoint.author = reader.textOr("author", "", maxIdBytes);
         if (reader.has("upto"))
-            checkpoint.upto = static_cast<std::uint64_t>(reader.number("upto", 0, highestVersion));
+            checkpoint.upto = static_cast<std::uint64_t>(reader.number("upto", 0, maxVersion));
         return reader.finish(std::move(checkpoint));
     }
 
-    std::string summary(const Faults& faults)
+    std::string summarize(const Faults& faults)
     {
         const std::string first = describe(faults.front());
         return faults.size() == 1 ? first : fmt::format("{}; and {} more", first, faults.size() - 1);
@@ -57,7 +57,7 @@
 
 } // namespace
 
-std::string_view nameOf(VerdictKind kind)
+std::string_view nameOf(OutcomeKind kind)
 {
     static constexpr std::array<std::string_view, 4> names { "accepted", "lost", "ignored", "undecided" };
     return names[static_cast<std::size_t>(kind)];
@@ -77,139 +77,139 @@
     return record;
 }
 
-void Ledger::trimmed(std::uint64_t kept)
+void Ledger::handleTrim(std::uint64_t newFirstKept)
 {
-    this->firstKept = std::max(this->firstKept, kept);
+    this->firstKept = std::max(this->firstKept, newFirstKept);
     if (this->nextOffset >= this->firstKept)
         return;
     // Records went that were never read: any of them may have changed the
     // version, so a publish can no longer be judged from here.
     this->nextOffset = this->firstKept;
-    this->tracked.reset();
+    this->streamVersion.reset();
 }
 
-Verdict Ledger::apply(std::uint64_t offset, const Json& record)
+PublishOutcome Ledger::apply(std::uint64_t offset, const Json& record)
 {
     if (offset != this->nextOffset)
         return ignored("this record is not the next one");
     ++this->nextOffset;
-    return this->judge(offset, record);
+    return this->evaluate(offset, record);
 }
 
 bool Ledger::adopt(const Checkpoint& checkpoint)
 {
-    const bool isNews = this->raise(checkpoint);
-    const bool isAhead = checkpoint.upto && (!this->tracked || *checkpoint.upto > this->nextOffset) && *checkpoint.upto >= this->firstKept;
-    if (isAhead && checkpoint.number <= this->force.number) {
-        this->tracked = Tracked { checkpoint.number, checkpoint.author };
+    const bool hasAdvanced = this->advanceTo(checkpoint);
+    const bool isAhead = checkpoint.upto && (!this->streamVersion || *checkpoint.upto > this->nextOffset) && *checkpoint.upto >= this->firstKept;
+    if (isAhead && checkpoint.number <= this->activeVersion.number) {
+        this->streamVersion = StreamVersion { checkpoint.number, checkpoint.author };
         this->nextOffset = *checkpoint.upto;
     }
-    return isNews;
+    return hasAdvanced;
 }
 
-std::optional<Verdict> Ledger::verdictOf(const std::string& publication) const
+std::optional<PublishOutcome> Ledger::outcomeOf(const std::string& publication) const
 {
-    const auto found = this->verdicts.find(publication);
-    if (found == this->verdicts.end())
+    const auto found = this->outcomes.find(publication);
+    if (found == this->outcomes.end())
         return std::nullopt;
     return found->second;
 }
 
 std::optional<Checkpoint> Ledger::checkpoint() const
 {
-    if (!this->tracked || this->tracked->number != this->force.number || this->force.number == 0)
+    if (!this->streamVersion || this->streamVersion->number != this->activeVersion.number || this->activeVersion.number == 0)
         return std::nullopt;
-    return Checkpoint { this->force.number, this->force.yaml, this->force.author, this->nextOffset };
+    return Checkpoint { this->activeVersion.number, this->activeVersion.yaml, this->activeVersion.author, this->nextOffset };
 }
 
-Verdict Ledger::judge(std::uint64_t offset, const Json& record)
+PublishOutcome Ledger::evaluate(std::uint64_t offset, const Json& record)
 {
     if (!record.is_object() || !record.contains("kind") || !record["kind"].is_string())
         return ignored("not a record of this stream");
     const std::string& kind = record["kind"].get_ref<const std::string&>();
     if (kind == "publish")
-        return this->judgePublish(record);
+        return this->evaluatePublish(record);
     if (kind == "restate")
-        return this->judgeRestate(offset, record);
+        return this->evaluateRestate(offset, record);
     return ignored("not a kind of record of this stream");
 }
 
-Verdict Ledger::judgePublish(const Json& record)
+PublishOutcome Ledger::evaluatePublish(const Json& record)
 {
     const auto publication = attempt([&] { return parsePublication(record); });
     if (!publication)
         return ignored(publication.error.message);
-    if (!this->tracked)
-        return { VerdictKind::Undecided, 0, {}, "this reader does not know its place in the log yet" };
-    const auto earlier = this->verdictOf(publication->id);
-    if (earlier && earlier->kind == VerdictKind::Accepted)
-        return { VerdictKind::Ignored, earlier->version, earlier->author, "a repeat of a publication that was accepted" };
-    Verdict verdict = this->accept(*publication);
-    this->remember(publication->id, verdict);
-    return verdict;
+    if (!this->streamVersion)
+        return { OutcomeKind::Undecided, 0, {}, "this reader does not know its place in the log yet" };
+    const auto earlier = this->outcomeOf(publication->id);
+    if (earlier && earlier->kind == OutcomeKind::Accepted)
+        return { OutcomeKind::Ignored, earlier->version, earlier->author, "a repeat of a publication that was accepted" };
+    PublishOutcome publishOutcome = this->applyPublication(*publication);
+    this->storeOutcome(publication->id, publishOutcome);
+    return publishOutcome;
 }
 
-Verdict Ledger::accept(const Publication& publication)
+PublishOutcome Ledger::applyPublication(const Publication& publication)
 {
-    if (publication.amends != this->tracked->number) {
-        return { VerdictKind::Lost, this->tracked->number, this->tracked->author,
-            fmt::format("it amends version {}, but version {} by '{}' was in force", publication.amends, this->tracked->number, this->tracked->author) };
+    if (publication.amends != this->streamVersion->number) {
+        return { OutcomeKind::Lost, this->streamVersion->number, this->streamVersion->author,
+            fmt::format("it amends version {}, but version {} by '{}' was in force", publication.amends, this->streamVersion->number, this->streamVersion->author) };
     }
     ParseOutcome outcome = parse(publication.yaml);
-    if (!outcome.text)
-        return ignored("the text is refused: " + summary(outcome.faults));
-    this->tracked = Tracked { publication.amends + 1, publication.author };
-    this->raise({ this->tracked->number, publication.yaml, publication.author, std::make_shared<const Text>(std::move(*outcome.text)) });
-    return { VerdictKind::Accepted, this->tracked->number, publication.author, {} };
+    if (!outcome.configuration)
+        return ignored("the text is refused: " + summarize(outcome.faults));
+    this->streamVersion = StreamVersion { publication.amends + 1, publication.author };
+    this->advanceTo({ this->streamVersion->number, publication.yaml, publication.author, std::make_shared<const Configuration>(std::move(*outcome.configuration)) });
+    return { OutcomeKind::Accepted, this->streamVersion->number, publication.author, {} };
 }
 
-Verdict Ledger::judgeRestate(std::uint64_t offset, const Json& record)
+PublishOutcome Ledger::evaluateRestate(std::uint64_t offset, const Json& record)
 {
     const auto checkpoint = attempt([&] { return parseCheckpoint(record); });
     if (!checkpoint)
         return ignored(checkpoint.error.message);
-    if (this->tracked)
+    if (this->streamVersion)
         return ignored("a restate tells this reader nothing new");
     if (checkpoint->upto && *checkpoint->upto > offset)
         return ignored("upto lies behind the record itself");
-    this->raise(*checkpoint);
-    if (checkpoint->number > this->force.number)
+    this->advanceTo(*checkpoint);
+    if (checkpoint->number > this->activeVersion.number)
         return ignored("the text is refused");
     if (!checkpoint->upto || *checkpoint->upto < this->firstKept)
-        return { VerdictKind::Undecided, checkpoint->number, checkpoint->author, "records after the restated place are gone" };
-    this->tracked = Tracked { checkpoint->number, checkpoint->author };
+        return { OutcomeKind::Undecided, checkpoint->number, checkpoint->author, "records after the restated place are gone" };
+    this->streamVersion = StreamVersion { checkpoint->number, checkpoint->author };
     this->nextOffset = *checkpoint->upto;
-    return { VerdictKind::Accepted, checkpoint->number, checkpoint->author, {} };
+    return { OutcomeKind::Accepted, checkpoint->number, checkpoint->author, {} };
 }
 
-bool Ledger::raise(const Checkpoint& checkpoint)
+bool Ledger::advanceTo(const Checkpoint& checkpoint)
 {
-    if (checkpoint.number <= this->force.number)
+    if (checkpoint.number <= this->activeVersion.number)
         return false;
     ParseOutcome outcome = parse(checkpoint.yaml);
-    if (!outcome.text)
+    if (!outcome.configuration)
         return false;
-    return this->raise({ checkpoint.number, checkpoint.yaml, checkpoint.author, std::make_shared<const Text>(std::move(*outcome.text)) });
+    return this->advanceTo({ checkpoint.number, checkpoint.yaml, checkpoint.author, std::make_shared<const Configuration>(std::move(*outcome.configuration)) });
 }
 
-bool Ledger::raise(Version version)
+bool Ledger::advanceTo(Version version)
 {
-    if (version.number <= this->force.number)
+    if (version.number <= this->activeVersion.number)
         return false;
-    this->force = std::move(version);
+    this->activeVersion = std::move(version);
     return true;
 }
 
-void Ledger::remember(const std::string& publication, const Verdict& verdict)
+void Ledger::storeOutcome(const std::string& publication, const PublishOutcome& publishOutcome)
 {
     if (publication.empty())
         return;
-    if (!this->verdicts.contains(publication))
-        this->verdictOrder.push_back(publication);
-    this->verdicts[publication] = verdict;
-    if (this->verdictOrder.size() > verdictsKept) {
-        this->verdicts.erase(this->verdictOrder.front());
-        this->verdictOrder.pop_front();
+    if (!this->outcomes.contains(publication))
+        this->outcomeOrder.push_back(publication);
+    this->outcomes[publication] = publishOutcome;
+    if (this->outcomeOrder.size() > maxStoredOutcomes) {
+        this->outcomes.erase(this->outcomeOrder.front());
+        this->outcomeOrder.pop_front();
     }
 }
 
--- a/src/config/ledger.h
+++ b/src/config/ledger.h
@@ -6,7 +6,7 @@
 //     Ledger ledger;
 //     for (;;) {
 //         const LogPage page = log.read("config", ledger.next(), limit, wait);
-//         ledger.trimmed(page.firstKept);
+//         ledger.handleTrim(page.firstKept);
 //         for (const LogRecord& record : page.records)
 //             ledger.apply(record.offset, record.value);
 //     }
@@ -29,7 +29,7 @@
 // Not thread-safe; parses a text per accepted publish.
 
 #include "base/json.h"
-#include "config/text.h"
+#include "config/configuration.h"
 
 #include <cstdint>
 #include <deque>
@@ -44,7 +44,7 @@
     std::int64_t number { 0 }; // 0: nothing has been published.
     std::string yaml;
     std::string author;
-    std::shared_ptr<const Text> text; // Null for version 0.
+    std::shared_ptr<const Configuration> configuration; // Null for version 0.
 };
 
 // A version together with the place in the stream at which it stood.
@@ -62,17 +62,17 @@
     std::string id; // Unique; the same again when an append is repeated.
 };
 
-enum class VerdictKind {
+enum class OutcomeKind {
     Accepted,
     Lost, // Another publish came first.
     Ignored, // Not a record that can count, or a repeat.
     Undecided, // This reader does not know its place yet.
 };
 
-std::string_view nameOf(VerdictKind);
+std::string_view nameOf(OutcomeKind);
 
-struct Verdict {
-    VerdictKind kind { VerdictKind::Undecided };
+struct PublishOutcome {
+    OutcomeKind kind { OutcomeKind::Undecided };
     std::int64_t version { 0 }; // The version made, or the one that won.
     std::string author; // Whose version that is.
     std::string reason; // For people; empty when accepted.
@@ -83,14 +83,14 @@
 
 class Ledger {
 public:
-    static constexpr std::size_t verdictsKept = 512;
+    static constexpr std::size_t maxStoredOutcomes = 512;
 
     // Records before this offset are gone. A ledger that has not read up to it
     // loses its place.
-    void trimmed(std::uint64_t firstKept);
+    void handleTrim(std::uint64_t newFirstKept);
 
     // Only the record at next() counts; any other is ignored.
-    Verdict apply(std::uint64_t offset, const Json& record);
+    PublishOutcome apply(std::uint64_t offset, const Json& record);
 
     // Takes a version that a peer has in force. True when it was news.
     bool adopt(const Checkpoint&);
@@ -98,38 +98,38 @@
     // The offset to read next; falls when a restate sends the reader back.
     std::uint64_t next() const { return this->nextOffset; }
 
-    bool isCurrent() const { return this->tracked.has_value(); }
-    const Version& inForce() const { return this->force; }
+    bool isCurrent() const { return this->streamVersion.has_value(); }
+    const Version& inForce() const { return this->activeVersion; }
 
-    // How a publication ended, for the last verdictsKept of them.
-    std::optional<Verdict> verdictOf(const std::string& publication) const;
+    // How a publication ended, for the last maxStoredOutcomes of them.
+    std::optional<PublishOutcome> outcomeOf(const std::string& publication) const;
 
     // What a restate or a peer may be given; empty while this reader does not
     // know its place or nothing is published.
     std::optional<Checkpoint> checkpoint() const;
 
 private:
-    // What the log's order says at nextOffset; `force` may be ahead of it.
-    struct Tracked {
+    // What the log's order says at nextOffset; `activeVersion` may be ahead of it.
+    struct StreamVersion {
         std::int64_t number { 0 };
         std::string author;
     };
 
-    Verdict judge(std::uint64_t offset, const Json& record);
-    Verdict judgePublish(const Json& record);
-    Verdict judgeRestate(std::uint64_t offset, const Json& record);
-    Verdict accept(const Publication&);
+    PublishOutcome evaluate(std::uint64_t offset, const Json& record);
+    PublishOutcome evaluatePublish(const Json& record);
+    PublishOutcome evaluateRestate(std::uint64_t offset, const Json& record);
+    PublishOutcome applyPublication(const Publication&);
     // Put a version in force if it is above the present one, and its text sound.
-    bool raise(const Checkpoint&);
-    bool raise(Version);
-    void remember(const std::string& publication, const Verdict&);
+    bool advanceTo(const Checkpoint&);
+    bool advanceTo(Version);
+    void storeOutcome(const std::string& publication, const PublishOutcome&);
 
     std::uint64_t firstKept { 0 };
     std::uint64_t nextOffset { 0 };
-    std::optional<Tracked> tracked { Tracked {} };
-    Version force;
-    std::map<std::string, Verdict> verdicts;
-    std::deque<std::string> verdictOrder; // Oldest first.
+    std::optional<StreamVersion> streamVersion { StreamVersion {} };
+    Version activeVersion;
+    std::map<std::string, PublishOutcome> outcomes;
+    std::deque<std::string> outcomeOrder; // Oldest first.
 };
 
 } // namespace rattan::config
--- a/src/config/packing.cc
+++ b/src/config/packing.cc
@@ -25,7 +25,7 @@
 namespace {
 
     struct Rack {
-        RackRoom workers; // Ascending, so that racks alike compare equal.
+        RackCapacity workers; // Ascending, so that racks alike compare equal.
         std::int64_t free { 0 };
 
         bool operator==(const Rack&) const = default;
@@ -33,10 +33,10 @@
     };
 
     // Sorting a rack in costs about as much as looking at so many.
-    constexpr std::int64_t looksToSortOne = 16;
+    constexpr std::int64_t stepsPerRackSorted = 16;
 
     // Bounds the memory of a search to a few megabytes.
-    constexpr std::int64_t mostStateNumbers = 200000;
+    constexpr std::int64_t maxSearchedStatesSize = 200000;
 
     struct Place {
         std::size_t rack;
@@ -46,24 +46,24 @@
     // One piece with the places still to try for it.
     struct Level {
         std::vector<Place> places;
-        std::size_t next { 0 };
-        Rack before; // The rack of the place being tried, as it was.
+        std::size_t nextPlace { 0 };
+        Rack rackBefore; // The rack of the place being tried, as it was.
     };
 
     // Racks with the same free total. Once a piece within a rack is placed, all
     // within a worker lie already, and only the total still matters.
-    bool isAlike(const Piece& piece, const Rack& a, const Rack& b) { return piece.within == Adjacency::Rack || a == b; }
+    bool isEquivalent(const Piece& piece, const Rack& a, const Rack& b) { return piece.within == Adjacency::Rack || a == b; }
 
     class Search {
     public:
-        Search(std::vector<Rack> racks, std::vector<Piece> pieces, std::int64_t looksLeft)
+        Search(std::vector<Rack> racks, std::vector<Piece> pieces, std::int64_t stepsLeft)
             : racks(std::move(racks))
             , pieces(std::move(pieces))
-            , looksLeft(looksLeft)
+            , stepsLeft(stepsLeft)
         {
         }
 
-        std::int64_t left() const { return this->looksLeft; }
+        std::int64_t remainingSteps() const { return this->stepsLeft; }
 
         Fit run()
         {
@@ -75,64 +75,64 @@
 
     private:
         // Without backtracking, DoesNotFit only says that best fit found nothing.
-        Fit search(bool backtracks)
+        Fit search(bool canBacktrack)
         {
-            if (backtracks && this->isHopeless(0))
+            if (canBacktrack && this->isInfeasible(0))
                 return Fit::DoesNotFit;
-            this->descend();
+            this->pushLevel();
             while (!this->levels.empty()) {
-                if (this->looksLeft < 0)
+                if (this->stepsLeft < 0)
                     return Fit::Undecided;
                 Level& level = this->levels.back();
-                if (level.next > 0)
-                    this->racks[level.places[level.next - 1].rack] = level.before;
-                if (level.next == level.places.size() || (!backtracks && level.next > 0)) {
+                if (level.nextPlace > 0)
+                    this->racks[level.places[level.nextPlace - 1].rack] = level.rackBefore;
+                if (level.nextPlace == level.places.size() || (!canBacktrack && level.nextPlace > 0)) {
                     this->levels.pop_back();
                     continue;
                 }
-                this->take(level);
+                this->placePiece(level);
                 if (this->levels.size() == this->pieces.size())
                     return Fit::Fits;
-                if (!backtracks || (!this->isHopeless(this->levels.size()) && this->isNewState()))
-                    this->descend();
+                if (!canBacktrack || (!this->isInfeasible(this->levels.size()) && this->addStateIfNew()))
+                    this->pushLevel();
             }
             return Fit::DoesNotFit;
         }
 
         // Pieces alike can be placed in many orders that leave the same room. What
         // was tried from such a state once has failed and would fail again.
-        bool isNewState()
+        bool addStateIfNew()
         {
             std::vector<Rack> state = this->racks;
             std::sort(state.begin(), state.end());
             std::int64_t size = 0;
             for (const Rack& rack : state)
                 size += static_cast<std::int64_t>(rack.workers.size()) + 1;
-            this->looksLeft -= size;
-            if (this->statesSize + size > mostStateNumbers)
-                return !this->states.contains({ this->levels.size(), std::move(state) });
-            const bool isNew = this->states.emplace(this->levels.size(), std::move(state)).second;
-            this->statesSize += isNew ? size : 0;
+            this->stepsLeft -= size;
+            if (this->searchedStatesSize + size > maxSearchedStatesSize)
+                return !this->searchedStates.contains({ this->levels.size(), std::move(state) });
+            const bool isNew = this->searchedStates.emplace(this->levels.size(), std::move(state)).second;
+            this->searchedStatesSize += isNew ? size : 0;
             return isNew;
         }
 
         // Whether the pieces from `first` on cannot all be placed, by counting alone.
-        bool isHopeless(std::size_t first)
+        bool isInfeasible(std::size_t first)
         {
-            std::size_t run = first; // Where the pieces within the same kind of place begin.
+            std::size_t groupStart = first; // Where the pieces within the same kind of place begin.
             for (std::size_t i = first; i < this->pieces.size(); ++i) {
-                if (this->pieces[i].within != this->pieces[run].within)
-                    run = i;
+                if (this->pieces[i].within != this->pieces[groupStart].within)
+                    groupStart = i;
                 const bool isLastOfSize = i + 1 == this->pieces.size() || this->pieces[i + 1].accelerators != this->pieces[i].accelerators
                     || this->pieces[i + 1].within != this->pieces[i].within;
-                if (isLastOfSize && this->placesOf(this->pieces[i]) < static_cast<std::int64_t>(i - run + 1))
+                if (isLastOfSize && this->countPlaces(this->pieces[i]) < static_cast<std::int64_t>(i - groupStart + 1))
                     return true;
             }
             return false;
         }
 
         // How many pieces of this size there is room for.
-        std::int64_t placesOf(const Piece& piece)
+        std::int64_t countPlaces(const Piece& piece)
         {
             std::int64_t count = 0;
             for (const Rack& rack : this->racks) {
@@ -140,27 +140,27 @@
                     count += rack.free / piece.accelerators;
                     continue;
                 }
-                this->looksLeft -= static_cast<std::int64_t>(rack.workers.size());
+                this->stepsLeft -= static_cast<std::int64_t>(rack.workers.size());
                 for (const std::int64_t free : rack.workers)
                     count += free / piece.accelerators;
             }
-            this->looksLeft -= static_cast<std::int64_t>(this->racks.size());
+            this->stepsLeft -= static_cast<std::int64_t>(this->racks.size());
             return count;
         }
 
-        void descend()
+        void pushLevel()
         {
             Level level;
-            level.places = this->placesFor(this->pieces[this->levels.size()]);
+            level.places = this->candidatePlaces(this->pieces[this->levels.size()]);
             this->levels.push_back(std::move(level));
         }
 
-        void take(Level& level)
+        void placePiece(Level& level)
         {
-            const Place place = level.places[level.next++];
+            const Place place = level.places[level.nextPlace++];
             const Piece& piece = this->pieces[this->levels.size() - 1];
             Rack& rack = this->racks[place.rack];
-            level.before = rack;
+            level.rackBefore = rack;
             rack.free -= piece.accelerators;
             if (piece.within == Adjacency::Rack)
                 return;
@@ -168,41 +168,41 @@
             std::sort(rack.workers.begin(), rack.workers.end());
         }
 
-        std::vector<Place> placesFor(const Piece& piece)
+        std::vector<Place> candidatePlaces(const Piece& piece)
         {
-            this->looksLeft -= looksToSortOne * static_cast<std::int64_t>(this->racks.size());
+            this->stepsLeft -= stepsPerRackSorted * static_cast<std::int64_t>(this->racks.size());
             std::vector<Place> places;
-            std::vector<std::size_t> listed; // Racks with the same free total, no two alike.
+            std::vector<std::size_t> distinctRacks; // Racks with the same free total, no two alike.
             for (const std::size_t index : this->racksTightestFirst(piece.accelerators)) {
                 const Rack& rack = this->racks[index];
-                if (!listed.empty() && this->racks[listed.front()].free != rack.free)
-                    listed.clear();
-                if (std::any_of(listed.begin(), listed.end(), [&](std::size_t other) { return isAlike(piece, this->racks[other], rack); }))
+                if (!distinctRacks.empty() && this->racks[distinctRacks.front()].free != rack.free)
+                    distinctRacks.clear();
+                if (std::any_of(distinctRacks.begin(), distinctRacks.end(), [&](std::size_t other) { return isEquivalent(piece, this->racks[other], rack); }))
                     continue;
-                listed.push_back(index);
+                distinctRacks.push_back(index);
                 if (piece.within == Adjacency::Rack)
                     places.push_back({ index, 0 });
                 else
-                    listWorkers(rack, index, piece.accelerators, places);
+                    addWorkerPlaces(rack, index, piece.accelerators, places);
             }
             return places;
         }
 
-        static void listWorkers(const Rack& rack, std::size_t index, std::int64_t need, std::vector<Place>& places)
+        static void addWorkerPlaces(const Rack& rack, std::size_t index, std::int64_t minFree, std::vector<Place>& places)
         {
-            std::int64_t last = -1;
+            std::int64_t previousFree = -1;
             for (std::size_t i = 0; i < rack.workers.size(); ++i) {
-                if (rack.workers[i] >= need && rack.workers[i] != last)
+                if (rack.workers[i] >= minFree && rack.workers[i] != previousFree)
                     places.push_back({ index, i });
-                last = rack.workers[i];
+                previousFree = rack.workers[i];
             }
         }
 
-        std::vector<std::size_t> racksTightestFirst(std::int64_t need) const
+        std::vector<std::size_t> racksTightestFirst(std::int64_t minFree) const
         {
             std::vector<std::size_t> order;
             for (std::size_t i = 0; i < this->racks.size(); ++i) {
-                if (this->racks[i].free >= need)
+                if (this->racks[i].free >= minFree)
                     order.push_back(i);
             }
             std::stable_sort(order.begin(), order.end(), [this](std::size_t a, std::size_t b) { return this->racks[a].free < this->racks[b].free; });
@@ -211,9 +211,9 @@
 
         std::vector<Rack> racks;
         std::vector<Piece> pieces;
-        std::int64_t looksLeft;
-        std::set<std::pair<std::size_t, std::vector<Rack>>> states; // With the number of pieces placed.
-        std::int64_t statesSize { 0 };
+        std::int64_t stepsLeft;
+        std::set<std::pair<std::size_t, std::vector<Rack>>> searchedStates; // With the number of pieces placed.
+        std::int64_t searchedStatesSize { 0 };
         std::vector<Level> levels;
     };
 
@@ -227,30 +227,30 @@
 
     // A piece of one accelerator fits wherever anything is free, and a piece
     // within the domain lies anywhere: the total speaks for both.
-    bool isDecidedByTotal(const Piece& piece) { return piece.within == Adjacency::Domain || piece.accelerators <= 1; }
+    bool isCoveredByTotal(const Piece& piece) { return piece.within == Adjacency::Domain || piece.accelerators <= 1; }
 
 } // namespace
 
-Fit fits(std::vector<RackRoom> rooms, std::vector<Piece> pieces, SearchBudget& budget)
+Fit fits(std::vector<RackCapacity> capacities, std::vector<Piece> pieces, SearchBudget& budget)
 {
     std::vector<Rack> racks;
     std::int64_t free = 0;
-    for (RackRoom& room : rooms) {
-        std::sort(room.begin(), room.end());
-        const std::int64_t total = std::accumulate(room.begin(), room.end(), std::int64_t { 0 });
+    for (RackCapacity& capacity : capacities) {
+        std::sort(capacity.begin(), capacity.end());
+        const std::int64_t total = std::accumulate(capacity.begin(), capacity.end(), std::int64_t { 0 });
         free += total;
-        racks.push_back({ std::move(room), total });
+        racks.push_back({ std::move(capacity), total });
     }
     for (const Piece& piece : pieces)
         free -= piece.accelerators;
     if (free < 0)
         return Fit::DoesNotFit;
-    std::erase_if(pieces, isDecidedByTotal);
+    std::erase_if(pieces, isCoveredByTotal);
     std::stable_sort(pieces.begin(), pieces.end(), isPlacedBefore);
-    const std::int64_t granted = std::min(SearchBudget::looksPerSearch, budget.looksLeft);
-    Search search(std::move(racks), std::move(pieces), granted);
+    const std::int64_t searchSteps = std::min(SearchBudget::maxStepsPerSearch, budget.stepsLeft);
+    Search search(std::move(racks), std::move(pieces), searchSteps);
     const Fit fit = search.run();
-    budget.looksLeft -= granted - search.left();
+    budget.stepsLeft -= searchSteps - search.remainingSteps();
     return fit;
 }
 
--- a/src/config/packing.h
+++ b/src/config/packing.h
@@ -12,7 +12,7 @@
 // budget up ends with Undecided; the budget counts looks and not
 // time, so every instance gets the same answer.
 
-#include "config/text.h"
+#include "config/configuration.h"
 
 #include <cstdint>
 #include <vector>
@@ -25,7 +25,7 @@
 };
 
 // Free accelerators of each worker of one rack.
-using RackRoom = std::vector<std::int64_t>;
+using RackCapacity = std::vector<std::int64_t>;
 
 enum class Fit {
     Fits,
@@ -37,11 +37,11 @@
 // single search has a bound of its own, so that one that is hard does not leave
 // the others without. Counted in workers and racks looked at.
 struct SearchBudget {
-    static constexpr std::int64_t looksPerSearch = 20000000;
+    static constexpr std::int64_t maxStepsPerSearch = 20000000;
 
-    std::int64_t looksLeft { 200000000 };
+    std::int64_t stepsLeft { 200000000 };
 };
 
-Fit fits(std::vector<RackRoom> racks, std::vector<Piece> pieces, SearchBudget&);
+Fit fits(std::vector<RackCapacity> racks, std::vector<Piece> pieces, SearchBudget&);
 
 } // namespace rattan::config
--- a/src/config/parse.cc
+++ b/src/config/parse.cc
@@ -70,24 +70,24 @@
         reader.name("name", target.name);
         reader.digest("token_sha256", target.tokenSha256);
         reader.items("guarantees", Section::Guarantees, target.guarantees, readGuarantee);
-        reader.number("most_accelerators", target.mostAccelerators);
-        reader.number("most_queued_jobs", target.mostQueuedJobs);
+        reader.number("most_accelerators", target.maxAccelerators);
+        reader.number("most_queued_jobs", target.maxQueuedJobs);
         reader.number("requests_per_second", target.requestsPerSecond);
     }
 
-    Text readText(ReadState& state)
+    Configuration readConfiguration(ParseState& state)
     {
-        Text text;
-        SectionReader reader(state, Section::Text, state.tree.root, "");
-        reader.number("format", text.format);
-        reader.name("name", text.name);
-        reader.items("operators", Section::Operators, text.operators, readOperator);
-        reader.items("workers", Section::Workers, text.workers, readPool);
-        reader.items("services", Section::Services, text.services, readService);
-        reader.items("job_classes", Section::JobClasses, text.jobClasses, readJobClass);
-        reader.items("workspaces", Section::Workspaces, text.workspaces, readWorkspace);
+        Configuration configuration;
+        SectionReader reader(state, Section::TopLevel, state.tree.root, "");
+        reader.number("format", configuration.format);
+        reader.name("name", configuration.name);
+        reader.items("operators", Section::Operators, configuration.operators, readOperator);
+        reader.items("workers", Section::Workers, configuration.workers, readPool);
+        reader.items("services", Section::Services, configuration.services, readService);
+        reader.items("job_classes", Section::JobClasses, configuration.jobClasses, readJobClass);
+        reader.items("workspaces", Section::Workspaces, configuration.workspaces, readWorkspace);
         reader.finish();
-        return text;
+        return configuration;
     }
 
     // A default in place of a wrong amount would make the search speak of numbers
@@ -98,15 +98,15 @@
             || fault.path.find("most_accelerators") != std::string::npos;
     }
 
-    void order(Faults& faults)
+    void sortAndTruncate(Faults& faults)
     {
         std::stable_sort(faults.begin(), faults.end(), [](const Fault& a, const Fault& b) {
             return a.at.line != b.at.line ? a.at.line < b.at.line : a.at.column < b.at.column;
         });
-        if (faults.size() > maximumFaults) {
-            const std::size_t more = faults.size() - maximumFaults;
-            faults.resize(maximumFaults);
-            faults.push_back({ {}, "", fmt::format("and {} faults more", more), "" });
+        if (faults.size() > maxFaults) {
+            const std::size_t omittedCount = faults.size() - maxFaults;
+            faults.resize(maxFaults);
+            faults.push_back({ {}, "", fmt::format("and {} faults more", omittedCount), "" });
         }
     }
 
@@ -115,25 +115,25 @@
 ParseOutcome parse(const std::string& yaml)
 {
     ParseOutcome outcome;
-    if (yaml.size() > maximumTextBytes) {
-        outcome.faults.push_back({ {}, "", fmt::format("the text has {} bytes", yaml.size()), fmt::format("at most {} bytes", maximumTextBytes) });
+    if (yaml.size() > maxConfigurationBytes) {
+        outcome.faults.push_back({ {}, "", fmt::format("the text has {} bytes", yaml.size()), fmt::format("at most {} bytes", maxConfigurationBytes) });
         return outcome;
     }
     const auto tree = readYaml(yaml, outcome.faults);
     if (!tree)
         return outcome;
-    ReadState state { *tree, {}, {} };
-    Text text = readText(state);
+    ParseState state { *tree, {}, {} };
+    Configuration configuration = readConfiguration(state);
     const bool canPack = std::none_of(state.faults.begin(), state.faults.end(), concernsPacking);
-    checkNames(text, state);
-    checkDependencies(text, state);
-    checkTokens(text, state);
+    checkNames(configuration, state);
+    checkDependencies(configuration, state);
+    checkTokens(configuration, state);
     if (canPack)
-        checkGuarantees(text, state);
+        checkGuarantees(configuration, state);
     outcome.faults = std::move(state.faults);
-    order(outcome.faults);
+    sortAndTruncate(outcome.faults);
     if (outcome.faults.empty())
-        outcome.text = std::move(text);
+        outcome.configuration = std::move(configuration);
     return outcome;
 }
 
--- a/src/config/parse.h
+++ b/src/config/parse.h
@@ -3,7 +3,7 @@
 // From the operators' YAML to a checked Text.
 //
 //     const ParseOutcome outcome = parse(yaml);
-//     if (!outcome.text) {
+//     if (!outcome.configuration) {
 //         for (const Fault& fault : outcome.faults)
 //             fmt::print("{}\n", describe(fault));
 //     }
@@ -15,8 +15,8 @@
 // A hostile text costs little: it is bounded in size, depth, nodes and list
 // lengths, and anchors and aliases are refused. docs/CONFIG.md lists every key.
 
+#include "config/configuration.h"
 #include "config/fault.h"
-#include "config/text.h"
 
 #include <optional>
 #include <string>
@@ -24,11 +24,11 @@
 namespace rattan::config {
 
 struct ParseOutcome {
-    std::optional<Text> text;
+    std::optional<Configuration> configuration;
     Faults faults;
 };
 
-inline constexpr std::size_t maximumTextBytes = 1 << 20;
+inline constexpr std::size_t maxConfigurationBytes = 1 << 20;
 
 ParseOutcome parse(const std::string& yaml);
 
--- a/src/config/section_reader.cc
+++ b/src/config/section_reader.cc
@@ -10,18 +10,18 @@
 
 namespace {
 
-    constexpr std::size_t shownBytes = 40;
+    constexpr std::size_t maxShownBytes = 40;
 
-    std::string shown(const std::string& value)
+    std::string abbreviated(const std::string& value)
     {
-        return value.size() <= shownBytes ? value : value.substr(0, shownBytes) + "...";
+        return value.size() <= maxShownBytes ? value : value.substr(0, maxShownBytes) + "...";
     }
 
     bool isNameByte(char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-'; }
 
     bool isName(const std::string& text)
     {
-        return !text.empty() && text.size() <= maximumNameBytes && std::all_of(text.begin(), text.end(), isNameByte)
+        return !text.empty() && text.size() <= maxNameBytes && std::all_of(text.begin(), text.end(), isNameByte)
             && text.front() != '-' && text.back() != '-';
     }
 
@@ -29,21 +29,21 @@
 
 } // namespace
 
-SectionReader::SectionReader(ReadState& state, Section section, NodeId id, std::string path)
+SectionReader::SectionReader(ParseState& state, Section section, NodeId id, std::string path)
     : state(state)
     , section(section)
     , node(state.tree.node(id))
     , path(std::move(path))
 {
-    this->state.places[this->path] = this->node.at;
+    this->state.positions[this->path] = this->node.at;
     if (this->node.kind != YamlNode::Kind::Map)
-        this->state.faults.push_back({ this->node.at, this->path, "a map is expected here", "a map with the keys " + namesOfKeys(section) });
+        this->state.faults.push_back({ this->node.at, this->path, "a map is expected here", "a map with the keys " + joinKeyNames(section) });
 }
 
 void SectionReader::name(std::string_view key, std::string& target)
 {
     if (const YamlNode* value = this->scalar(key))
-        this->takeName(key, *value, target);
+        this->readName(key, *value, target);
 }
 
 void SectionReader::names(std::string_view key, std::vector<std::string>& target)
@@ -51,8 +51,8 @@
     const std::vector<NodeId> ids = this->list(key);
     for (std::size_t i = 0; i < ids.size(); ++i) {
         const YamlNode& item = this->state.tree.node(ids[i]);
-        this->state.places[fmt::format("{}[{}]", this->pathOf(key), i)] = item.at;
-        this->takeName(key, item, target.emplace_back());
+        this->state.positions[fmt::format("{}[{}]", this->pathOf(key), i)] = item.at;
+        this->readName(key, item, target.emplace_back());
     }
 }
 
@@ -67,7 +67,7 @@
     constexpr std::size_t digits = 64;
     if (lowered.size() != digits || !std::all_of(lowered.begin(), lowered.end(), isHexByte)) {
         // The value is not shown: an operator may have put the token itself here.
-        this->state.faults.push_back({ value->at, this->pathOf(key), "not a SHA-256", acceptedBy(keyOf(this->section, key)) });
+        this->state.faults.push_back({ value->at, this->pathOf(key), "not a SHA-256", describeAccepted(keyOf(this->section, key)) });
         return;
     }
     target = std::move(lowered);
@@ -76,19 +76,19 @@
 void SectionReader::number(std::string_view key, std::int64_t& target)
 {
     if (const YamlNode* value = this->scalar(key))
-        this->takeAmount(key, *value, parseWhole(value->scalar), target);
+        this->readAmount(key, *value, parseInteger(value->scalar), target);
 }
 
 void SectionReader::duration(std::string_view key, Millis& target)
 {
     if (const YamlNode* value = this->scalar(key))
-        this->takeAmount(key, *value, parseDuration(value->scalar), target);
+        this->readAmount(key, *value, parseDuration(value->scalar), target);
 }
 
 void SectionReader::memory(std::string_view key, std::int64_t& target)
 {
     if (const YamlNode* value = this->scalar(key))
-        this->takeAmount(key, *value, parseMemoryMb(value->scalar), target);
+        this->readAmount(key, *value, parseMemoryMib(value->scalar), target);
 }
 
 void SectionReader::flag(std::string_view key, bool& target)
@@ -99,7 +99,7 @@
     if (value->scalar == "true" || value->scalar == "false")
         target = value->scalar == "true";
     else
-        this->refuse(key, value->at, value->scalar);
+        this->addInvalidValue(key, value->at, value->scalar);
 }
 
 void SectionReader::urgency(std::string_view key, Urgency& target)
@@ -113,7 +113,7 @@
             return;
         }
     }
-    this->refuse(key, value->at, value->scalar);
+    this->addInvalidValue(key, value->at, value->scalar);
 }
 
 void SectionReader::adjacency(std::string_view key, Adjacency& target)
@@ -127,7 +127,7 @@
             return;
         }
     }
-    this->refuse(key, value->at, value->scalar);
+    this->addInvalidValue(key, value->at, value->scalar);
 }
 
 void SectionReader::finish()
@@ -136,7 +136,7 @@
     for (const YamlEntry& entry : this->node.entries) {
         const bool known = std::any_of(allKeys().begin(), allKeys().end(), [&](const Key& key) { return key.section == this->section && key.name == entry.key; });
         if (!known)
-            this->state.faults.push_back({ entry.at, this->pathOf(shown(entry.key)), "unknown key", namesOfKeys(this->section) });
+            this->state.faults.push_back({ entry.at, this->pathOf(abbreviated(entry.key)), "unknown key", joinKeyNames(this->section) });
         else if (!seen.insert(entry.key).second)
             this->state.faults.push_back({ entry.at, this->pathOf(entry.key), "the key stands twice in this map", "each key once" });
     }
@@ -148,12 +148,12 @@
     for (const YamlEntry& entry : this->node.entries) {
         if (entry.key == key) {
             const YamlNode& value = this->state.tree.node(entry.value);
-            this->state.places[this->pathOf(key)] = value.at;
+            this->state.positions[this->pathOf(key)] = value.at;
             return &value;
         }
     }
     if (info.required && this->node.kind == YamlNode::Kind::Map)
-        this->state.faults.push_back({ this->node.at, this->pathOf(key), "the key is missing", acceptedBy(info) });
+        this->state.faults.push_back({ this->node.at, this->pathOf(key), "the key is missing", describeAccepted(info) });
     return nullptr;
 }
 
@@ -163,7 +163,7 @@
     if (!value || value->kind == YamlNode::Kind::Scalar)
         return value;
     this->state.faults.push_back({ value->at, this->pathOf(key),
-        value->kind == YamlNode::Kind::Empty ? "the value is empty" : "one value is expected here", acceptedBy(keyOf(this->section, key)) });
+        value->kind == YamlNode::Kind::Empty ? "the value is empty" : "one value is expected here", describeAccepted(keyOf(this->section, key)) });
     return nullptr;
 }
 
@@ -175,9 +175,9 @@
     const Key& info = keyOf(this->section, key);
     const auto count = static_cast<std::int64_t>(value->items.size());
     if (value->kind != YamlNode::Kind::List)
-        this->state.faults.push_back({ value->at, this->pathOf(key), "a list is expected here", acceptedBy(info) });
-    else if (count < info.lowest || count > info.highest)
-        this->state.faults.push_back({ value->at, this->pathOf(key), fmt::format("the list has {} items", count), acceptedBy(info) });
+        this->state.faults.push_back({ value->at, this->pathOf(key), "a list is expected here", describeAccepted(info) });
+    else if (count < info.min || count > info.max)
+        this->state.faults.push_back({ value->at, this->pathOf(key), fmt::format("the list has {} items", count), describeAccepted(info) });
     else
         return value->items;
     return {};
@@ -188,27 +188,27 @@
     return this->path.empty() ? std::string(key) : fmt::format("{}.{}", this->path, key);
 }
 
-void SectionReader::refuse(std::string_view key, Position at, const std::string& value)
+void SectionReader::addInvalidValue(std::string_view key, Position at, const std::string& value)
 {
-    this->state.faults.push_back({ at, this->pathOf(key), fmt::format("'{}' is not taken", shown(value)), acceptedBy(keyOf(this->section, key)) });
+    this->state.faults.push_back({ at, this->pathOf(key), fmt::format("'{}' is not taken", abbreviated(value)), describeAccepted(keyOf(this->section, key)) });
 }
 
-bool SectionReader::takeName(std::string_view key, const YamlNode& value, std::string& target)
+bool SectionReader::readName(std::string_view key, const YamlNode& value, std::string& target)
 {
     if (!isName(value.scalar)) {
-        this->state.faults.push_back({ value.at, this->pathOf(key), fmt::format("'{}' is not a name", shown(value.scalar)),
-            fmt::format("lower-case letters, digits and inner hyphens, at most {} bytes", maximumNameBytes) });
+        this->state.faults.push_back({ value.at, this->pathOf(key), fmt::format("'{}' is not a name", abbreviated(value.scalar)),
+            fmt::format("lower-case letters, digits and inner hyphens, at most {} bytes", maxNameBytes) });
         return false;
     }
     target = value.scalar;
     return true;
 }
 
-void SectionReader::takeAmount(std::string_view key, const YamlNode& value, std::optional<std::int64_t> amount, std::int64_t& target)
+void SectionReader::readAmount(std::string_view key, const YamlNode& value, std::optional<std::int64_t> amount, std::int64_t& target)
 {
     const Key& info = keyOf(this->section, key);
-    if (!amount || *amount < info.lowest || *amount > info.highest)
-        this->refuse(key, value.at, value.scalar);
+    if (!amount || *amount < info.min || *amount > info.max)
+        this->addInvalidValue(key, value.at, value.scalar);
     else
         target = *amount;
 }
--- a/src/config/section_reader.h
+++ b/src/config/section_reader.h
@@ -4,14 +4,14 @@
 //
 //     SectionReader reader(state, Section::Workspaces, node, "workspaces[0]");
 //     reader.name("name", workspace.name);
-//     reader.number("most_queued_jobs", workspace.mostQueuedJobs);
+//     reader.number("most_queued_jobs", workspace.maxQueuedJobs);
 //     reader.finish();
 //
 // Ranges and wording come from the table in config/keys.h. A target keeps the
 // value it has when its key is absent or wrong.
 
+#include "config/configuration.h"
 #include "config/keys.h"
-#include "config/text.h"
 #include "config/yaml_tree.h"
 
 #include <map>
@@ -21,15 +21,15 @@
 namespace rattan::config {
 
 // What one parse gathers.
-struct ReadState {
+struct ParseState {
     const YamlTree& tree;
     Faults faults;
-    std::map<std::string, Position> places; // By key path, for faults found later.
+    std::map<std::string, Position> positions; // By key path, for faults found later.
 };
 
 class SectionReader {
 public:
-    SectionReader(ReadState&, Section, NodeId, std::string path);
+    SectionReader(ParseState&, Section, NodeId, std::string path);
 
     void name(std::string_view key, std::string& target);
     void names(std::string_view key, std::vector<std::string>& target);
@@ -61,11 +61,11 @@
     const YamlNode* scalar(std::string_view key);
     std::vector<NodeId> list(std::string_view key);
     std::string pathOf(std::string_view key) const;
-    void refuse(std::string_view key, Position, const std::string& value);
-    bool takeName(std::string_view key, const YamlNode&, std::string& target);
-    void takeAmount(std::string_view key, const YamlNode&, std::optional<std::int64_t> amount, std::int64_t& target);
+    void addInvalidValue(std::string_view key, Position, const std::string& value);
+    bool readName(std::string_view key, const YamlNode&, std::string& target);
+    void readAmount(std::string_view key, const YamlNode&, std::optional<std::int64_t> amount, std::int64_t& target);
 
-    ReadState& state;
+    ParseState& state;
     Section section;
     const YamlNode& node;
     std::string path;
--- a/src/config/testing/keys_test.cc
+++ b/src/config/testing/keys_test.cc
@@ -23,14 +23,14 @@
         CPPUNIT_ASSERT_EQUAL(allKeys().size(), rows.size());
         for (std::size_t i = 0; i < rows.size(); ++i) {
             const Key& key = allKeys()[i];
-            const std::string_view section = key.section == Section::Text ? "(top)" : nameOf(key.section);
+            const std::string_view section = key.section == Section::TopLevel ? "(top)" : nameOf(key.section);
             const std::string start = fmt::format("| {} | `{}` | ", section, key.name);
             CPPUNIT_ASSERT_EQUAL(start, rows[i].substr(0, start.size()));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(rows[i], key.required, rows[i].find(" | required | ") != std::string::npos);
-            if (key.kind == ValueKind::Number && key.lowest != key.highest)
-                CPPUNIT_ASSERT_MESSAGE(rows[i], rows[i].find(fmt::format("| {} to {} |", key.lowest, key.highest)) != std::string::npos);
+            if (key.kind == ValueKind::Number && key.min != key.max)
+                CPPUNIT_ASSERT_MESSAGE(rows[i], rows[i].find(fmt::format("| {} to {} |", key.min, key.max)) != std::string::npos);
             if (key.kind == ValueKind::Items)
-                CPPUNIT_ASSERT_MESSAGE(rows[i], rows[i].find(fmt::format("| {} to {} items |", key.lowest, key.highest)) != std::string::npos);
+                CPPUNIT_ASSERT_MESSAGE(rows[i], rows[i].find(fmt::format("| {} to {} items |", key.min, key.max)) != std::string::npos);
         }
     }
 };
--- a/src/config/testing/ledger_test.cc
+++ b/src/config/testing/ledger_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-    std::string textNamed(const std::string& name)
+    std::string yamlNamed(const std::string& name)
     {
         return fmt::format("format: 1\nname: {}\noperators: [{{name: ops, token_sha256: {}}}]\n"
                            "workers: [{{domain: north, racks: 1, workers_per_rack: 1, accelerators: 8, cores: 8, memory: 8GiB}}]\n"
@@ -17,9 +17,9 @@
             name, std::string(64, 'a'), std::string(64, 'b'));
     }
 
-    Json publishOf(std::int64_t amends, const std::string& name)
+    Json publishRecordOf(std::int64_t amends, const std::string& name)
     {
-        return publishRecord({ amends, textNamed(name), name, name });
+        return publishRecord({ amends, yamlNamed(name), name, name });
     }
 
     // The kept part of the stream, as a reader sees it.
@@ -33,7 +33,7 @@
     // Reads up to an offset, going back where the ledger asks for it.
     void readUpTo(Ledger& ledger, const Stream& stream, std::uint64_t end)
     {
-        ledger.trimmed(stream.firstKept);
+        ledger.handleTrim(stream.firstKept);
         while (ledger.next() < end)
             ledger.apply(ledger.next(), stream.records[ledger.next()]);
     }
@@ -44,144 +44,144 @@
 
 class LedgerTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(LedgerTest);
-    CPPUNIT_TEST(firstOfTwoWins);
-    CPPUNIT_TEST(repeatedAppendCountsOnce);
-    CPPUNIT_TEST(refusedTextChangesNothing);
-    CPPUNIT_TEST(ignoresForeignRecords);
-    CPPUNIT_TEST(restateThatLostARace);
-    CPPUNIT_TEST(readerThatFellBehindKeepsItsText);
-    CPPUNIT_TEST(peerBringsTextAndPlace);
-    CPPUNIT_TEST(verdictsAreBounded);
-    CPPUNIT_TEST(anyReaderFromAnyTrimEndsAlike);
+    CPPUNIT_TEST(firstOfTwoConcurrentPublishesWins);
+    CPPUNIT_TEST(repeatedAppendIsAppliedOnce);
+    CPPUNIT_TEST(invalidConfigurationChangesNothing);
+    CPPUNIT_TEST(unknownRecordsAreIgnored);
+    CPPUNIT_TEST(staleRestateDoesNotMakeReaderCurrent);
+    CPPUNIT_TEST(readerBehindTrimDecidesNoPublish);
+    CPPUNIT_TEST(peerCheckpointSetsVersionAndOffset);
+    CPPUNIT_TEST(storedOutcomesAreBounded);
+    CPPUNIT_TEST(readersAgreeFromAnyTrimOffset);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void firstOfTwoWins()
+    void firstOfTwoConcurrentPublishesWins()
     {
         // Two operators publish at the same moment; one of them must learn that
         // the other's text is in force, or would believe that its own is.
         Ledger ledger;
-        CPPUNIT_ASSERT(ledger.apply(0, publishOf(0, "anna")).kind == VerdictKind::Accepted);
-        const Verdict lost = ledger.apply(1, publishOf(0, "bert"));
-        CPPUNIT_ASSERT(lost.kind == VerdictKind::Lost);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, lost.version);
-        CPPUNIT_ASSERT_EQUAL(std::string("anna"), lost.author);
-        CPPUNIT_ASSERT_EQUAL(std::string("anna"), ledger.inForce().text->name);
-        CPPUNIT_ASSERT(ledger.verdictOf("bert")->kind == VerdictKind::Lost);
-        CPPUNIT_ASSERT(ledger.apply(2, publishOf(1, "bert")).kind == VerdictKind::Accepted);
-        CPPUNIT_ASSERT(ledger.verdictOf("bert")->kind == VerdictKind::Accepted);
+        CPPUNIT_ASSERT(ledger.apply(0, publishRecordOf(0, "anna")).kind == OutcomeKind::Accepted);
+        const PublishOutcome lostOutcome = ledger.apply(1, publishRecordOf(0, "bert"));
+        CPPUNIT_ASSERT(lostOutcome.kind == OutcomeKind::Lost);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, lostOutcome.version);
+        CPPUNIT_ASSERT_EQUAL(std::string("anna"), lostOutcome.author);
+        CPPUNIT_ASSERT_EQUAL(std::string("anna"), ledger.inForce().configuration->name);
+        CPPUNIT_ASSERT(ledger.outcomeOf("bert")->kind == OutcomeKind::Lost);
+        CPPUNIT_ASSERT(ledger.apply(2, publishRecordOf(1, "bert")).kind == OutcomeKind::Accepted);
+        CPPUNIT_ASSERT(ledger.outcomeOf("bert")->kind == OutcomeKind::Accepted);
     }
 
-    void repeatedAppendCountsOnce()
+    void repeatedAppendIsAppliedOnce()
     {
         // The log takes an append and its reply is lost, so the publisher
         // appends again. Counted twice, it would undo what came in between.
         Ledger ledger;
-        ledger.apply(0, publishOf(0, "anna"));
-        ledger.apply(1, publishOf(1, "bert"));
-        const Verdict again = ledger.apply(2, publishOf(0, "anna"));
-        CPPUNIT_ASSERT(again.kind == VerdictKind::Ignored);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, again.version);
+        ledger.apply(0, publishRecordOf(0, "anna"));
+        ledger.apply(1, publishRecordOf(1, "bert"));
+        const PublishOutcome repeated = ledger.apply(2, publishRecordOf(0, "anna"));
+        CPPUNIT_ASSERT(repeated.kind == OutcomeKind::Ignored);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, repeated.version);
         CPPUNIT_ASSERT_EQUAL(std::string("bert"), ledger.inForce().author);
-        CPPUNIT_ASSERT(ledger.verdictOf("anna")->kind == VerdictKind::Accepted);
+        CPPUNIT_ASSERT(ledger.outcomeOf("anna")->kind == OutcomeKind::Accepted);
     }
 
-    void refusedTextChangesNothing()
+    void invalidConfigurationChangesNothing()
     {
         Ledger ledger;
-        const std::string future = "format: 7" + textNamed("anna").substr(std::string("format: 1").size());
-        const Verdict refused = ledger.apply(0, publishRecord({ 0, future, "anna", "a" }));
-        CPPUNIT_ASSERT(refused.kind == VerdictKind::Ignored);
-        CPPUNIT_ASSERT(refused.reason.find("format") != std::string::npos);
-        CPPUNIT_ASSERT(ledger.apply(1, publishOf(0, "bert")).kind == VerdictKind::Accepted);
+        const std::string future = "format: 7" + yamlNamed("anna").substr(std::string("format: 1").size());
+        const PublishOutcome invalid = ledger.apply(0, publishRecord({ 0, future, "anna", "a" }));
+        CPPUNIT_ASSERT(invalid.kind == OutcomeKind::Ignored);
+        CPPUNIT_ASSERT(invalid.reason.find("format") != std::string::npos);
+        CPPUNIT_ASSERT(ledger.apply(1, publishRecordOf(0, "bert")).kind == OutcomeKind::Accepted);
     }
 
-    void ignoresForeignRecords()
+    void unknownRecordsAreIgnored()
     {
         Ledger ledger;
-        Json skipping = publishOf(0, "anna");
-        skipping["version"] = 5;
+        Json versionSkipped = publishRecordOf(0, "anna");
+        versionSkipped["version"] = 5;
         const std::vector<Json> records { nullptr, 7, Json::array(), Json::object(), { { "kind", 3 } }, { { "kind", "publish" } },
-            { { "kind", "restate" }, { "version", -1 } }, { { "kind", "vote" } }, skipping };
+            { { "kind", "restate" }, { "version", -1 } }, { { "kind", "vote" } }, versionSkipped };
         for (const Json& record : records)
-            CPPUNIT_ASSERT_MESSAGE(record.dump(), ledger.apply(ledger.next(), record).kind == VerdictKind::Ignored);
-        CPPUNIT_ASSERT(ledger.apply(ledger.next() + 1, publishOf(0, "anna")).kind == VerdictKind::Ignored);
-        CPPUNIT_ASSERT(ledger.apply(ledger.next(), publishOf(0, "anna")).kind == VerdictKind::Accepted);
+            CPPUNIT_ASSERT_MESSAGE(record.dump(), ledger.apply(ledger.next(), record).kind == OutcomeKind::Ignored);
+        CPPUNIT_ASSERT(ledger.apply(ledger.next() + 1, publishRecordOf(0, "anna")).kind == OutcomeKind::Ignored);
+        CPPUNIT_ASSERT(ledger.apply(ledger.next(), publishRecordOf(0, "anna")).kind == OutcomeKind::Accepted);
     }
 
-    void restateThatLostARace()
+    void staleRestateDoesNotMakeReaderCurrent()
     {
         // An instance writes version 1 again while a publish makes version 2. The
         // publish lands first and is then trimmed. A fresh instance that took the
         // restate at face value would accept a publish that everybody else refused.
         Stream stream;
-        stream.records = { publishOf(0, "anna") };
+        stream.records = { publishRecordOf(0, "anna") };
         Ledger writer;
         readAll(writer, stream);
         const Json restate = restateRecord(*writer.checkpoint());
-        stream.records.push_back(publishOf(1, "bert")); // offset 1
+        stream.records.push_back(publishRecordOf(1, "bert")); // offset 1
         stream.records.push_back(restate); // offset 2, upto 1
-        stream.records.push_back(publishOf(1, "carla")); // lost against bert
+        stream.records.push_back(publishRecordOf(1, "carla")); // lost against bert
 
-        Ledger inTime;
+        Ledger timelyReader;
         stream.trim(1);
-        readAll(inTime, stream);
-        CPPUNIT_ASSERT(inTime.isCurrent());
-        CPPUNIT_ASSERT_EQUAL(std::string("bert"), inTime.inForce().author);
+        readAll(timelyReader, stream);
+        CPPUNIT_ASSERT(timelyReader.isCurrent());
+        CPPUNIT_ASSERT_EQUAL(std::string("bert"), timelyReader.inForce().author);
 
-        Ledger late;
+        Ledger lateReader;
         stream.trim(2);
-        readAll(late, stream);
-        CPPUNIT_ASSERT(!late.isCurrent());
-        CPPUNIT_ASSERT_EQUAL(std::string("anna"), late.inForce().author);
-        CPPUNIT_ASSERT(!late.checkpoint());
+        readAll(lateReader, stream);
+        CPPUNIT_ASSERT(!lateReader.isCurrent());
+        CPPUNIT_ASSERT_EQUAL(std::string("anna"), lateReader.inForce().author);
+        CPPUNIT_ASSERT(!lateReader.checkpoint());
     }
 
-    void readerThatFellBehindKeepsItsText()
+    void readerBehindTrimDecidesNoPublish()
     {
         // An instance is cut off until the records after its place are trimmed.
         // It goes on with the text it has, and must not judge publishes by it.
         Stream stream;
-        stream.records = { publishOf(0, "anna"), publishOf(1, "bert"), publishOf(2, "carla"), publishOf(1, "dora") };
+        stream.records = { publishRecordOf(0, "anna"), publishRecordOf(1, "bert"), publishRecordOf(2, "carla"), publishRecordOf(1, "dora") };
         Ledger ledger;
         readUpTo(ledger, stream, 2);
         stream.trim(3);
         readAll(ledger, stream);
         CPPUNIT_ASSERT(!ledger.isCurrent());
         CPPUNIT_ASSERT_EQUAL(std::string("bert"), ledger.inForce().author);
-        CPPUNIT_ASSERT(!ledger.verdictOf("dora"));
-        stream.records.push_back(restateRecord({ 3, textNamed("carla"), "carla", 3 }));
+        CPPUNIT_ASSERT(!ledger.outcomeOf("dora"));
+        stream.records.push_back(restateRecord({ 3, yamlNamed("carla"), "carla", 3 }));
         readAll(ledger, stream);
         CPPUNIT_ASSERT(ledger.isCurrent());
         CPPUNIT_ASSERT_EQUAL(std::string("carla"), ledger.inForce().author);
-        CPPUNIT_ASSERT(ledger.verdictOf("dora")->kind == VerdictKind::Lost);
+        CPPUNIT_ASSERT(ledger.outcomeOf("dora")->kind == OutcomeKind::Lost);
     }
 
-    void peerBringsTextAndPlace()
+    void peerCheckpointSetsVersionAndOffset()
     {
         Ledger fresh;
-        fresh.trimmed(50);
-        CPPUNIT_ASSERT(fresh.adopt({ 7, textNamed("anna"), "anna", std::nullopt }));
+        fresh.handleTrim(50);
+        CPPUNIT_ASSERT(fresh.adopt({ 7, yamlNamed("anna"), "anna", std::nullopt }));
         CPPUNIT_ASSERT(!fresh.isCurrent());
-        CPPUNIT_ASSERT(!fresh.adopt({ 6, textNamed("old"), "old", 60 })); // A stale peer.
+        CPPUNIT_ASSERT(!fresh.adopt({ 6, yamlNamed("old"), "old", 60 })); // A stale peer.
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 7 }, fresh.inForce().number);
         CPPUNIT_ASSERT(!fresh.adopt({ 9, "broken", "x", 70 }));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 60 }, fresh.next());
-        CPPUNIT_ASSERT(fresh.apply(60, publishOf(6, "anna")).kind == VerdictKind::Accepted);
+        CPPUNIT_ASSERT(fresh.apply(60, publishRecordOf(6, "anna")).kind == OutcomeKind::Accepted);
         CPPUNIT_ASSERT(fresh.checkpoint().has_value());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 61 }, *fresh.checkpoint()->upto);
     }
 
-    void verdictsAreBounded()
+    void storedOutcomesAreBounded()
     {
         Ledger ledger;
-        for (std::size_t i = 0; i <= Ledger::verdictsKept; ++i)
+        for (std::size_t i = 0; i <= Ledger::maxStoredOutcomes; ++i)
             ledger.apply(ledger.next(), publishRecord({ 5, "x", "anna", std::to_string(i) }));
-        CPPUNIT_ASSERT(!ledger.verdictOf("0"));
-        CPPUNIT_ASSERT(ledger.verdictOf("1").has_value());
+        CPPUNIT_ASSERT(!ledger.outcomeOf("0"));
+        CPPUNIT_ASSERT(ledger.outcomeOf("1").has_value());
     }
 
-    void anyReaderFromAnyTrimEndsAlike()
+    void readersAgreeFromAnyTrimOffset()
     {
         // Operators race, appends are repeated, restates arrive late, texts are
         // broken and the log is trimmed, in any order. Whoever reads what is left
@@ -194,21 +194,21 @@
         constexpr int rounds = 20;
         for (int round = 0; round < rounds; ++round) {
             const Stream stream = this->randomStream(random);
-            Ledger whole;
-            readAll(whole, stream);
-            for (std::uint64_t kept = 0; kept <= stream.records.size(); ++kept) {
+            Ledger fullReader;
+            readAll(fullReader, stream);
+            for (std::uint64_t firstOffset = 0; firstOffset <= stream.records.size(); ++firstOffset) {
                 Stream trimmed = stream;
-                trimmed.trim(kept);
-                Ledger late;
-                readUpTo(late, stream, random() % (kept + 1));
-                readAll(late, trimmed);
-                const std::string context = fmt::format("seed {}, round {}, kept from {}", seed, round, kept);
-                CPPUNIT_ASSERT_MESSAGE(context, late.inForce().number <= whole.inForce().number);
-                (late.isCurrent() ? current : behind) += 1;
-                if (!late.isCurrent())
+                trimmed.trim(firstOffset);
+                Ledger lateReader;
+                readUpTo(lateReader, stream, random() % (firstOffset + 1));
+                readAll(lateReader, trimmed);
+                const std::string context = fmt::format("seed {}, round {}, kept from {}", seed, round, firstOffset);
+                CPPUNIT_ASSERT_MESSAGE(context, lateReader.inForce().number <= fullReader.inForce().number);
+                (lateReader.isCurrent() ? current : behind) += 1;
+                if (!lateReader.isCurrent())
                     continue;
-                CPPUNIT_ASSERT_EQUAL_MESSAGE(context, whole.inForce().number, late.inForce().number);
-                CPPUNIT_ASSERT_EQUAL_MESSAGE(context, whole.inForce().yaml, late.inForce().yaml);
+                CPPUNIT_ASSERT_EQUAL_MESSAGE(context, fullReader.inForce().number, lateReader.inForce().number);
+                CPPUNIT_ASSERT_EQUAL_MESSAGE(context, fullReader.inForce().yaml, lateReader.inForce().yaml);
             }
         }
         CPPUNIT_ASSERT(current > rounds && behind > rounds);
@@ -248,7 +248,7 @@
                 stream.records.push_back(publishRecord({ ledger.inForce().number, "broken: [", name, name }));
                 break;
             default:
-                stream.records.push_back(publishOf(ledger.inForce().number, name));
+                stream.records.push_back(publishRecordOf(ledger.inForce().number, name));
             }
         }
         return stream;
--- a/src/config/testing/packing_test.cc
+++ b/src/config/testing/packing_test.cc
@@ -9,12 +9,12 @@
 namespace {
 
     // Tries every place of every piece, without any of the search's shortcuts.
-    bool fitsByTrial(std::vector<RackRoom>& racks, const std::vector<Piece>& pieces, std::size_t index)
+    bool fitsByExhaustiveSearch(std::vector<RackCapacity>& racks, const std::vector<Piece>& pieces, std::size_t index)
     {
         if (index == pieces.size())
             return true;
         const Piece& piece = pieces[index];
-        for (RackRoom& rack : racks) {
+        for (RackCapacity& rack : racks) {
             // Within a rack, any split over its workers counts; for the trial the
             // pieces within a rack come last and take workers in order.
             if (piece.within == Adjacency::Worker) {
@@ -22,23 +22,23 @@
                     if (worker < piece.accelerators)
                         continue;
                     worker -= piece.accelerators;
-                    const bool placed = fitsByTrial(racks, pieces, index + 1);
+                    const bool isPlaced = fitsByExhaustiveSearch(racks, pieces, index + 1);
                     worker += piece.accelerators;
-                    if (placed)
+                    if (isPlaced)
                         return true;
                 }
                 continue;
             }
-            const RackRoom before = rack;
-            std::int64_t left = piece.accelerators;
+            const RackCapacity rackBefore = rack;
+            std::int64_t missing = piece.accelerators;
             for (std::int64_t& worker : rack) {
-                const std::int64_t taken = std::min(worker, left);
+                const std::int64_t taken = std::min(worker, missing);
                 worker -= taken;
-                left -= taken;
+                missing -= taken;
             }
-            const bool placed = left == 0 && fitsByTrial(racks, pieces, index + 1);
-            rack = before;
-            if (placed)
+            const bool isPlaced = missing == 0 && fitsByExhaustiveSearch(racks, pieces, index + 1);
+            rack = rackBefore;
+            if (isPlaced)
                 return true;
         }
         return false;
@@ -48,18 +48,18 @@
 
 class PackingTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(PackingTest);
-    CPPUNIT_TEST(needsBacktracking);
-    CPPUNIT_TEST(agreesWithTrialOfAllPlaces);
-    CPPUNIT_TEST(countsBeforeItSearches);
-    CPPUNIT_TEST(givesUpAtItsBudget);
+    CPPUNIT_TEST(backtracksWhereBestFitFails);
+    CPPUNIT_TEST(agreesWithExhaustiveSearch);
+    CPPUNIT_TEST(countingRejectsWithoutLongSearch);
+    CPPUNIT_TEST(searchStopsAtBudget);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void needsBacktracking()
+    void backtracksWhereBestFitFails()
     {
         // Best fit puts the 4 beside the 3 of the first worker and is stuck.
         SearchBudget budget;
-        const std::vector<RackRoom> racks { { 10 }, { 7 } };
+        const std::vector<RackCapacity> racks { { 10 }, { 7 } };
         std::vector<Piece> pieces;
         for (const std::int64_t size : { 6, 4, 4, 3 })
             pieces.push_back({ size, Adjacency::Worker });
@@ -68,16 +68,16 @@
         CPPUNIT_ASSERT(fits(racks, pieces, budget) == Fit::DoesNotFit);
     }
 
-    void agreesWithTrialOfAllPlaces()
+    void agreesWithExhaustiveSearch()
     {
         constexpr unsigned seed = 20261202;
         std::mt19937 random(seed);
         const auto below = [&](int bound) { return static_cast<std::int64_t>(random() % bound); };
-        int fitting = 0;
+        int fittingRounds = 0;
         constexpr int rounds = 400;
         for (int round = 0; round < rounds; ++round) {
-            std::vector<RackRoom> racks(1 + below(3));
-            for (RackRoom& rack : racks) {
+            std::vector<RackCapacity> racks(1 + below(3));
+            for (RackCapacity& rack : racks) {
                 rack.resize(1 + below(2));
                 for (std::int64_t& worker : rack)
                     worker = below(9);
@@ -87,21 +87,21 @@
                 pieces.push_back({ 1 + below(7), Adjacency::Worker });
             for (std::int64_t i = below(3); i > 0; --i)
                 pieces.push_back({ 1 + below(10), Adjacency::Rack });
-            const bool expected = fitsByTrial(racks, pieces, 0);
+            const bool expected = fitsByExhaustiveSearch(racks, pieces, 0);
             SearchBudget budget;
             CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("seed {}, round {}", seed, round), expected, fits(racks, pieces, budget) == Fit::Fits);
-            fitting += expected ? 1 : 0;
+            fittingRounds += expected ? 1 : 0;
         }
-        CPPUNIT_ASSERT(fitting > rounds / 8 && fitting < rounds * 7 / 8);
+        CPPUNIT_ASSERT(fittingRounds > rounds / 8 && fittingRounds < rounds * 7 / 8);
     }
 
-    void countsBeforeItSearches()
+    void countingRejectsWithoutLongSearch()
     {
         // Few racks can hold the large pieces, and the small ones fit nearly
         // anywhere: without counting, the search tries every way to place the
         // small ones before it believes that the large ones do not fit.
-        std::vector<RackRoom> racks(36, RackRoom(8, 1));
-        racks.resize(41, RackRoom(8, 3));
+        std::vector<RackCapacity> racks(36, RackCapacity(8, 1));
+        racks.resize(41, RackCapacity(8, 3));
         std::vector<Piece> pieces(37, Piece { 3, Adjacency::Worker });
         pieces.resize(43, Piece { 16, Adjacency::Rack });
         SearchBudget budget;
@@ -111,13 +111,13 @@
         CPPUNIT_ASSERT(fits(racks, pieces, budget) == Fit::Fits);
     }
 
-    void givesUpAtItsBudget()
+    void searchStopsAtBudget()
     {
         // Three sizes that all leave 1 when divided by 4 take at most 999 of 1000,
         // and all sizes together are above 20 times that, so they do not fit. The
         // counts do not show it, and trying all ways takes too long. The answer
         // must come all the same, and be the same everywhere.
-        const std::vector<RackRoom> racks(20, RackRoom { 1000 });
+        const std::vector<RackCapacity> racks(20, RackCapacity { 1000 });
         std::vector<Piece> pieces(60);
         std::int64_t total = 0;
         for (std::size_t i = 0; i < pieces.size(); ++i) {
@@ -128,7 +128,7 @@
         CPPUNIT_ASSERT(total > 999 * 20 && total <= 1000 * 20);
         SearchBudget budget;
         CPPUNIT_ASSERT(fits(racks, pieces, budget) == Fit::Undecided);
-        CPPUNIT_ASSERT(budget.looksLeft <= SearchBudget {}.looksLeft - SearchBudget::looksPerSearch);
+        CPPUNIT_ASSERT(budget.stepsLeft <= SearchBudget {}.stepsLeft - SearchBudget::maxStepsPerSearch);
     }
 };
 
--- a/src/config/testing/parse_test.cc
+++ b/src/config/testing/parse_test.cc
@@ -19,7 +19,7 @@
     }
 
     // A small sound text; rows replace one part of it.
-    std::string sampleText()
+    std::string sampleYaml()
     {
         return "format: 1\n" // 1
                "name: sample\n"
@@ -41,15 +41,15 @@
             + "    guarantees: [{count: 2, accelerators: 8, within: worker}]\n";
     }
 
-    std::string replaced(const std::string& from, const std::string& to)
+    std::string sampleWith(const std::string& from, const std::string& to)
     {
-        std::string text = sampleText();
+        std::string text = sampleYaml();
         const std::size_t at = text.find(from);
         CPPUNIT_ASSERT_MESSAGE(from, at != std::string::npos);
         return text.replace(at, from.size(), to);
     }
 
-    std::string allOf(const Faults& faults)
+    std::string describeAll(const Faults& faults)
     {
         std::string text;
         for (const Fault& fault : faults)
@@ -57,59 +57,59 @@
         return text;
     }
 
-    struct Row {
+    struct FaultCase {
         std::string from;
         std::string to;
         int line;
         std::string path;
-        std::string part; // Of the message.
+        std::string messagePart; // Of the message.
     };
 
 } // namespace
 
 class ParseTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(ParseTest);
-    CPPUNIT_TEST(takesExamples);
-    CPPUNIT_TEST(takesSample);
-    CPPUNIT_TEST(namesEachFault);
-    CPPUNIT_TEST(namesAllFaultsAtOnce);
-    CPPUNIT_TEST(refusesStrangeBytes);
-    CPPUNIT_TEST(refusesDeepTexts);
-    CPPUNIT_TEST(refusesLargeTexts);
-    CPPUNIT_TEST(neverShowsMisplacedToken);
+    CPPUNIT_TEST(acceptsExamples);
+    CPPUNIT_TEST(parsesSample);
+    CPPUNIT_TEST(reportsEachFault);
+    CPPUNIT_TEST(reportsAllFaultsAtOnce);
+    CPPUNIT_TEST(rejectsMalformedYaml);
+    CPPUNIT_TEST(rejectsDeepNesting);
+    CPPUNIT_TEST(rejectsOversizedInput);
+    CPPUNIT_TEST(faultHidesMisplacedToken);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void takesExamples()
+    void acceptsExamples()
     {
         for (const std::string name : { "kitami", "laurentide" }) {
             const ParseOutcome outcome = parse(readFile("examples/" + name + ".yaml"));
-            CPPUNIT_ASSERT_EQUAL(std::string(), allOf(outcome.faults));
-            CPPUNIT_ASSERT_EQUAL(name, outcome.text->name);
-            CPPUNIT_ASSERT_EQUAL(std::size_t { 4 }, outcome.text->workspaces.size());
+            CPPUNIT_ASSERT_EQUAL(std::string(), describeAll(outcome.faults));
+            CPPUNIT_ASSERT_EQUAL(name, outcome.configuration->name);
+            CPPUNIT_ASSERT_EQUAL(std::size_t { 4 }, outcome.configuration->workspaces.size());
             std::int64_t workers = 0;
-            for (const WorkerPool& pool : outcome.text->workers)
+            for (const WorkerPool& pool : outcome.configuration->workers)
                 workers += pool.racks * pool.workersPerRack;
             CPPUNIT_ASSERT_EQUAL(std::int64_t { 50 }, workers);
         }
     }
 
-    void takesSample()
+    void parsesSample()
     {
-        const ParseOutcome outcome = parse(sampleText());
-        CPPUNIT_ASSERT_EQUAL(std::string(), allOf(outcome.faults));
-        const Text& text = *outcome.text;
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 65536 }, text.workers[0].memoryMb);
-        CPPUNIT_ASSERT_EQUAL(Millis { 500 }, text.services[0].operations[0].deadline);
-        CPPUNIT_ASSERT_EQUAL(Millis { 10000 }, text.services[1].operations[0].deadline);
-        CPPUNIT_ASSERT_EQUAL(Millis { 600000 }, text.jobClasses[0].checkpointTime);
-        CPPUNIT_ASSERT_EQUAL(std::string("planning"), text.services[0].dependsOn[0]);
+        const ParseOutcome outcome = parse(sampleYaml());
+        CPPUNIT_ASSERT_EQUAL(std::string(), describeAll(outcome.faults));
+        const Configuration& configuration = *outcome.configuration;
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 65536 }, configuration.workers[0].memoryMb);
+        CPPUNIT_ASSERT_EQUAL(Millis { 500 }, configuration.services[0].operations[0].deadline);
+        CPPUNIT_ASSERT_EQUAL(Millis { 10000 }, configuration.services[1].operations[0].deadline);
+        CPPUNIT_ASSERT_EQUAL(Millis { 600000 }, configuration.jobClasses[0].checkpointTime);
+        CPPUNIT_ASSERT_EQUAL(std::string("planning"), configuration.services[0].dependsOn[0]);
     }
 
-    void namesEachFault()
+    void reportsEachFault()
     {
         const std::string digest(64, 'b');
-        const std::vector<Row> rows {
+        const std::vector<FaultCase> cases {
             { "format: 1", "format: 2", 1, "format", "'2' is not taken" },
             { "name: sample\n", "", 1, "name", "missing" },
             { "name: sample", "name: Sample", 2, "name", "not a name" },
@@ -145,79 +145,79 @@
             { "name: desk", "name: !!str desk", 14, "", "tags" },
             { "name: desk", "name: desk: x", 14, "", "illegal map value" },
         };
-        for (const Row& row : rows) {
-            const ParseOutcome outcome = parse(replaced(row.from, row.to));
-            const std::string context = row.to + ": " + allOf(outcome.faults);
-            CPPUNIT_ASSERT_MESSAGE(context, !outcome.text);
+        for (const FaultCase& faultCase : cases) {
+            const ParseOutcome outcome = parse(sampleWith(faultCase.from, faultCase.to));
+            const std::string context = faultCase.to + ": " + describeAll(outcome.faults);
+            CPPUNIT_ASSERT_MESSAGE(context, !outcome.configuration);
             const bool found = std::any_of(outcome.faults.begin(), outcome.faults.end(), [&](const Fault& fault) {
-                return fault.at.line == row.line && fault.at.column > 0 && fault.path == row.path && fault.message.find(row.part) != std::string::npos;
+                return fault.at.line == faultCase.line && fault.at.column > 0 && fault.path == faultCase.path && fault.message.find(faultCase.messagePart) != std::string::npos;
             });
             CPPUNIT_ASSERT_MESSAGE(context, found);
         }
     }
 
-    void namesAllFaultsAtOnce()
+    void reportsAllFaultsAtOnce()
     {
-        std::string text = replaced("racks: 2", "racks: none");
+        std::string text = sampleWith("racks: 2", "racks: none");
         text += "    colour: red\n    requests_per_second: 0\n";
         const Faults faults = parse(text).faults;
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(allOf(faults), std::size_t { 3 }, faults.size());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(describeAll(faults), std::size_t { 3 }, faults.size());
         // Guarantees that do not fit are named beside a wrong flag elsewhere.
-        std::string crowded = replaced("count: 2", "count: 5");
+        std::string crowded = sampleWith("count: 2", "count: 5");
         crowded.replace(crowded.find("idempotent: false"), 17, "idempotent: maybe");
         const Faults both = parse(crowded).faults;
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(allOf(both), std::size_t { 2 }, both.size());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(describeAll(both), std::size_t { 2 }, both.size());
         CPPUNIT_ASSERT_EQUAL(std::string("workspaces[0].guarantees[0]"), both[1].path);
         CPPUNIT_ASSERT_EQUAL(std::string("line 17, column 5: workspaces[0].colour: unknown key (accepted: name, token_sha256, guarantees, "
                                          "most_accelerators, most_queued_jobs, requests_per_second)"),
             describe(faults[1]));
     }
 
-    void refusesStrangeBytes()
+    void rejectsMalformedYaml()
     {
         // yaml-cpp ends a text at a NUL or EOT byte: the rest would silently go
         // missing, and an operator would find half of the workspaces gone.
         const std::vector<std::string> texts { "", "\n", "---\n", "just words", "[]", std::string("format: 1\0name: x", 17),
             "format: 1\x04", "name: \xff\xfe", "\xef\xbb\xbf", "{", "a: b: c", "? [a]: b", "\t", "%YAML 9.9\n---\n", "%TAG", "'", "\"\\x\"",
-            sampleText() + "---\nformat: 1\n", "- - - -", ": : :", "? ? ?", "{? : }", "[?, ?]", "&", "*", "!<", "|99", ">-\n" };
+            sampleYaml() + "---\nformat: 1\n", "- - - -", ": : :", "? ? ?", "{? : }", "[?, ?]", "&", "*", "!<", "|99", ">-\n" };
         for (const std::string& text : texts) {
             const ParseOutcome outcome = parse(text);
-            CPPUNIT_ASSERT_MESSAGE(text, !outcome.text && !outcome.faults.empty());
+            CPPUNIT_ASSERT_MESSAGE(text, !outcome.configuration && !outcome.faults.empty());
         }
     }
 
-    void refusesDeepTexts()
+    void rejectsDeepNesting()
     {
         // One level of nesting costs the parser a level of stack; a text of a
         // few kilobytes could end the process of every instance that reads it.
         constexpr int levels = 200000;
         for (const std::string unit : { "[", "{a: ", "- ", "? ", "{? ", "[a: " }) {
             std::string text;
-            for (int i = 0; i < levels && text.size() < maximumTextBytes - unit.size(); ++i)
+            for (int i = 0; i < levels && text.size() < maxConfigurationBytes - unit.size(); ++i)
                 text += unit;
             const ParseOutcome outcome = parse(text);
-            CPPUNIT_ASSERT_MESSAGE(unit, !outcome.text && !outcome.faults.empty());
+            CPPUNIT_ASSERT_MESSAGE(unit, !outcome.configuration && !outcome.faults.empty());
         }
     }
 
-    void refusesLargeTexts()
+    void rejectsOversizedInput()
     {
-        CPPUNIT_ASSERT(!parse(std::string(maximumTextBytes + 1, '#')).text);
+        CPPUNIT_ASSERT(!parse(std::string(maxConfigurationBytes + 1, '#')).configuration);
         std::string many = "name: [";
-        while (many.size() < maximumTextBytes - 2)
+        while (many.size() < maxConfigurationBytes - 2)
             many += "1,";
         const ParseOutcome outcome = parse(many + "]");
-        CPPUNIT_ASSERT(allOf(outcome.faults).find("more than 100000 values") != std::string::npos);
+        CPPUNIT_ASSERT(describeAll(outcome.faults).find("more than 100000 values") != std::string::npos);
         std::string faulty = "format: 1\n";
         for (int i = 0; i < 1000; ++i)
             faulty += fmt::format("key{}: 1\n", i);
-        CPPUNIT_ASSERT_EQUAL(maximumFaults + 1, parse(faulty).faults.size());
+        CPPUNIT_ASSERT_EQUAL(maxFaults + 1, parse(faulty).faults.size());
     }
 
-    void neverShowsMisplacedToken()
+    void faultHidesMisplacedToken()
     {
-        const ParseOutcome outcome = parse(replaced(std::string(64, 'b'), "my-secret-token"));
-        CPPUNIT_ASSERT(allOf(outcome.faults).find("my-secret") == std::string::npos);
+        const ParseOutcome outcome = parse(sampleWith(std::string(64, 'b'), "my-secret-token"));
+        CPPUNIT_ASSERT(describeAll(outcome.faults).find("my-secret") == std::string::npos);
     }
 };
 
--- a/src/config/units.cc
+++ b/src/config/units.cc
@@ -28,7 +28,7 @@
     std::optional<std::int64_t> parseAmount(std::string_view text, const std::array<Unit, count>& units)
     {
         const std::size_t digits = std::min(text.find_first_not_of("0123456789"), text.size());
-        const auto number = parseWhole(text.substr(0, digits));
+        const auto number = parseInteger(text.substr(0, digits));
         std::string_view name = text.substr(digits);
         if (name.starts_with(' '))
             name.remove_prefix(1);
@@ -42,7 +42,7 @@
 
 } // namespace
 
-std::optional<std::int64_t> parseWhole(std::string_view text)
+std::optional<std::int64_t> parseInteger(std::string_view text)
 {
     std::int64_t value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -53,7 +53,7 @@
 
 std::optional<Millis> parseDuration(std::string_view text) { return parseAmount(text, durationUnits); }
 
-std::optional<std::int64_t> parseMemoryMb(std::string_view text)
+std::optional<std::int64_t> parseMemoryMib(std::string_view text)
 {
     const auto bytes = parseAmount(text, memoryUnits);
     if (!bytes)
--- a/src/config/units.h
+++ b/src/config/units.h
@@ -16,8 +16,8 @@
 
 namespace rattan::config {
 
-std::optional<std::int64_t> parseWhole(std::string_view);
+std::optional<std::int64_t> parseInteger(std::string_view);
 std::optional<Millis> parseDuration(std::string_view);
-std::optional<std::int64_t> parseMemoryMb(std::string_view);
+std::optional<std::int64_t> parseMemoryMib(std::string_view);
 
 } // namespace rattan::config
--- a/src/config/yaml_tree.cc
+++ b/src/config/yaml_tree.cc
@@ -1,6 +1,6 @@
 // yaml-cpp descends one level of the stack for each level of the document, and
 // tells its handler of a list or map before it descends. The handler refuses by
-// throwing, so the stack stays as deep as maximumDepth, whatever the text.
+// throwing, so the stack stays as deep as maxDepth, whatever the text.
 
 #include "config/yaml_tree.h"
 
@@ -27,8 +27,8 @@
 
         void OnNull(const YAML::Mark& mark, YAML::anchor_t anchor) override
         {
-            this->refuseAnchor(mark, anchor);
-            this->place(this->add(mark, YamlNode::Kind::Empty), mark);
+            this->rejectAnchor(mark, anchor);
+            this->attach(this->addNode(mark, YamlNode::Kind::Empty), mark);
         }
 
         void OnAlias(const YAML::Mark& mark, YAML::anchor_t) override
@@ -38,48 +38,48 @@
 
         void OnScalar(const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor, const std::string& value) override
         {
-            this->refuseAnchor(mark, anchor);
-            this->refuseTag(mark, tag);
-            if (this->awaitsKey()) {
-                this->open.back().key = value;
-                this->open.back().keyMark = mark;
+            this->rejectAnchor(mark, anchor);
+            this->rejectTag(mark, tag);
+            if (this->expectsKey()) {
+                this->openLevels.back().key = value;
+                this->openLevels.back().keyMark = mark;
                 return;
             }
-            const NodeId id = this->add(mark, YamlNode::Kind::Scalar);
+            const NodeId id = this->addNode(mark, YamlNode::Kind::Scalar);
             this->tree.nodes[id].scalar = value;
-            this->place(id, mark);
+            this->attach(id, mark);
         }
 
         void OnSequenceStart(const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor, YAML::EmitterStyle::value) override
         {
-            this->descend(mark, tag, anchor, YamlNode::Kind::List);
+            this->openNode(mark, tag, anchor, YamlNode::Kind::List);
         }
 
-        void OnSequenceEnd() override { this->open.pop_back(); }
+        void OnSequenceEnd() override { this->openLevels.pop_back(); }
 
         void OnMapStart(const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor, YAML::EmitterStyle::value) override
         {
-            this->descend(mark, tag, anchor, YamlNode::Kind::Map);
+            this->openNode(mark, tag, anchor, YamlNode::Kind::Map);
         }
 
-        void OnMapEnd() override { this->open.pop_back(); }
+        void OnMapEnd() override { this->openLevels.pop_back(); }
 
     private:
-        struct Level {
+        struct OpenLevel {
             NodeId id { 0 };
             std::optional<std::string> key;
             YAML::Mark keyMark;
         };
 
-        bool awaitsKey() const
+        bool expectsKey() const
         {
-            return !this->open.empty() && this->tree.nodes[this->open.back().id].kind == YamlNode::Kind::Map && !this->open.back().key;
+            return !this->openLevels.empty() && this->tree.nodes[this->openLevels.back().id].kind == YamlNode::Kind::Map && !this->openLevels.back().key;
         }
 
-        NodeId add(const YAML::Mark& mark, YamlNode::Kind kind)
+        NodeId addNode(const YAML::Mark& mark, YamlNode::Kind kind)
         {
-            if (this->tree.nodes.size() >= maximumNodes)
-                throw YAML::ParserException(mark, fmt::format("the text has more than {} values", maximumNodes));
+            if (this->tree.nodes.size() >= maxNodes)
+                throw YAML::ParserException(mark, fmt::format("the text has more than {} values", maxNodes));
             YamlNode node;
             node.kind = kind;
             node.at = positionOf(mark);
@@ -88,15 +88,15 @@
         }
 
         // Hangs a finished or opened node under the innermost open one.
-        void place(NodeId id, const YAML::Mark& mark)
+        void attach(NodeId id, const YAML::Mark& mark)
         {
-            if (this->open.empty()) {
+            if (this->openLevels.empty()) {
                 this->tree.root = id;
                 return;
             }
-            if (this->awaitsKey())
+            if (this->expectsKey())
                 throw YAML::ParserException(mark, "a key must be a plain word");
-            Level& level = this->open.back();
+            OpenLevel& level = this->openLevels.back();
             YamlNode& parent = this->tree.nodes[level.id];
             if (parent.kind == YamlNode::Kind::List) {
                 parent.items.push_back(id);
@@ -109,31 +109,31 @@
             level.key.reset();
         }
 
-        void descend(const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor, YamlNode::Kind kind)
+        void openNode(const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor, YamlNode::Kind kind)
         {
-            this->refuseAnchor(mark, anchor);
-            this->refuseTag(mark, tag);
-            if (this->open.size() >= maximumDepth)
-                throw YAML::ParserException(mark, fmt::format("the text nests deeper than {} levels", maximumDepth));
-            const NodeId id = this->add(mark, kind);
-            this->place(id, mark);
-            this->open.push_back({ id, std::nullopt, {} });
+            this->rejectAnchor(mark, anchor);
+            this->rejectTag(mark, tag);
+            if (this->openLevels.size() >= maxDepth)
+                throw YAML::ParserException(mark, fmt::format("the text nests deeper than {} levels", maxDepth));
+            const NodeId id = this->addNode(mark, kind);
+            this->attach(id, mark);
+            this->openLevels.push_back({ id, std::nullopt, {} });
         }
 
-        static void refuseAnchor(const YAML::Mark& mark, YAML::anchor_t anchor)
+        static void rejectAnchor(const YAML::Mark& mark, YAML::anchor_t anchor)
         {
             if (anchor != YAML::NullAnchor)
                 throw YAML::ParserException(mark, "anchors are not taken; write the value out");
         }
 
         // "?" marks a plain value and "!" a quoted one.
-        static void refuseTag(const YAML::Mark& mark, const std::string& tag)
+        static void rejectTag(const YAML::Mark& mark, const std::string& tag)
         {
             if (!tag.empty() && tag != "?" && tag != "!")
                 throw YAML::ParserException(mark, "tags are not taken");
         }
 
-        std::vector<Level> open;
+        std::vector<OpenLevel> openLevels;
     };
 
     bool isUtf8(const std::string& line)
@@ -153,17 +153,17 @@
     {
         std::istringstream lines(text);
         std::string line;
-        for (int number = 1; std::getline(lines, line); ++number) {
+        for (int lineNumber = 1; std::getline(lines, line); ++lineNumber) {
             for (std::size_t i = 0; i < line.size(); ++i) {
                 const auto byte = static_cast<unsigned char>(line[i]);
-                const bool control = (byte < 0x20 && byte != '\t' && byte != '\r') || byte == 0x7f;
-                if (control) {
-                    faults.push_back({ { number, static_cast<int>(i) + 1 }, "", fmt::format("control character {:#04x}", byte), "UTF-8 text" });
+                const bool isControl = (byte < 0x20 && byte != '\t' && byte != '\r') || byte == 0x7f;
+                if (isControl) {
+                    faults.push_back({ { lineNumber, static_cast<int>(i) + 1 }, "", fmt::format("control character {:#04x}", byte), "UTF-8 text" });
                     return false;
                 }
             }
             if (!isUtf8(line)) {
-                faults.push_back({ { number, 1 }, "", "this line is not UTF-8", "UTF-8 text" });
+                faults.push_back({ { lineNumber, 1 }, "", "this line is not UTF-8", "UTF-8 text" });
                 return false;
             }
         }
@@ -184,13 +184,13 @@
             faults.push_back({ { 1, 1 }, "", "the text is empty", "a map with the keys of docs/CONFIG.md" });
             return std::nullopt;
         }
-        TreeBuilder second;
-        if (parser.HandleNextDocument(second)) {
-            faults.push_back({ second.tree.node(second.tree.root).at, "", "a second document begins here", "one document" });
+        TreeBuilder nextBuilder;
+        if (parser.HandleNextDocument(nextBuilder)) {
+            faults.push_back({ nextBuilder.tree.node(nextBuilder.tree.root).at, "", "a second document begins here", "one document" });
             return std::nullopt;
         }
-    } catch (const YAML::Exception& problem) {
-        faults.push_back({ positionOf(problem.mark), "", problem.msg, "" });
+    } catch (const YAML::Exception& error) {
+        faults.push_back({ positionOf(error.mark), "", error.msg, "" });
         return std::nullopt;
     }
     return std::move(builder.tree);
--- a/src/config/yaml_tree.h
+++ b/src/config/yaml_tree.h
@@ -49,8 +49,8 @@
     const YamlNode& node(NodeId id) const { return this->nodes[id]; }
 };
 
-inline constexpr std::size_t maximumDepth = 16;
-inline constexpr std::size_t maximumNodes = 100000;
+inline constexpr std::size_t maxDepth = 16;
+inline constexpr std::size_t maxNodes = 100000;
 
 // Empty, with one fault more, when the text is not one bounded YAML document.
 std::optional<YamlTree> readYaml(const std::string& text, Faults&);
--- a/src/ctl/text_commands.cc
+++ b/src/ctl/text_commands.cc
@@ -15,7 +15,7 @@
 
     constexpr int conflict = 409;
 
-    std::string summaryOf(const config::Text& text)
+    std::string summaryOf(const config::Configuration& text)
     {
         return fmt::format("'{}': {} workspaces, {} services, {} job classes", text.name, text.workspaces.size(), text.services.size(), text.jobClasses.size());
     }
--- a/src/ctl/text_diff.cc
+++ b/src/ctl/text_diff.cc
@@ -26,13 +26,13 @@
         return digest.substr(0, shown) + "...";
     }
 
-    void flattenOperators(const config::Text& text, Flat& flat)
+    void flattenOperators(const config::Configuration& text, Flat& flat)
     {
         for (const config::Operator& one : text.operators)
             flat["operators." + one.name + ".token_sha256"] = shortDigest(one.tokenSha256);
     }
 
-    void flattenWorkers(const config::Text& text, Flat& flat)
+    void flattenWorkers(const config::Configuration& text, Flat& flat)
     {
         std::map<std::string, std::vector<std::string>> pools;
         for (const config::WorkerPool& pool : text.workers) {
@@ -45,7 +45,7 @@
         }
     }
 
-    void flattenServices(const config::Text& text, Flat& flat)
+    void flattenServices(const config::Configuration& text, Flat& flat)
     {
         for (const config::Service& service : text.services) {
             std::vector<std::string> needs = service.dependsOn;
@@ -60,7 +60,7 @@
         }
     }
 
-    void flattenJobClasses(const config::Text& text, Flat& flat)
+    void flattenJobClasses(const config::Configuration& text, Flat& flat)
     {
         for (const config::JobClass& one : text.jobClasses) {
             const std::string path = "job_classes." + one.name;
@@ -73,19 +73,19 @@
         }
     }
 
-    void flattenWorkspaces(const config::Text& text, Flat& flat)
+    void flattenWorkspaces(const config::Configuration& text, Flat& flat)
     {
         for (const config::Workspace& one : text.workspaces) {
             const std::string path = "workspaces." + one.name;
             flat[path + ".token_sha256"] = shortDigest(one.tokenSha256);
             flat[path + ".guarantees"] = describeShapes(one.guarantees);
-            flat[path + ".most_accelerators"] = one.mostAccelerators == 0 ? "no limit" : fmt::to_string(one.mostAccelerators);
-            flat[path + ".most_queued_jobs"] = fmt::to_string(one.mostQueuedJobs);
+            flat[path + ".most_accelerators"] = one.maxAccelerators == 0 ? "no limit" : fmt::to_string(one.maxAccelerators);
+            flat[path + ".most_queued_jobs"] = fmt::to_string(one.maxQueuedJobs);
             flat[path + ".requests_per_second"] = fmt::to_string(one.requestsPerSecond);
         }
     }
 
-    Flat flatten(const config::Text& text)
+    Flat flatten(const config::Configuration& text)
     {
         Flat flat { { "name", text.name }, { "format", fmt::to_string(text.format) } };
         flattenOperators(text, flat);
@@ -104,7 +104,7 @@
     return names[static_cast<std::size_t>(kind)];
 }
 
-std::vector<Difference> differencesBetween(const config::Text& before, const config::Text& after)
+std::vector<Difference> differencesBetween(const config::Configuration& before, const config::Configuration& after)
 {
     const Flat old = flatten(before);
     const Flat fresh = flatten(after);
--- a/src/ctl/text_diff.h
+++ b/src/ctl/text_diff.h
@@ -3,7 +3,7 @@
 // What differs between two operators' texts, in terms of their meaning: order
 // and spelling do not count, and items are matched by their names.
 
-#include "config/text.h"
+#include "config/configuration.h"
 
 #include <string>
 #include <vector>
@@ -26,7 +26,7 @@
 std::string_view nameOf(Difference::Kind);
 
 // Sorted by path.
-std::vector<Difference> differencesBetween(const config::Text& before, const config::Text& after);
+std::vector<Difference> differencesBetween(const config::Configuration& before, const config::Configuration& after);
 
 // "2 x 16 accelerators, one rack each", joined by " + "; "none" for no shape.
 std::string describeShapes(const std::vector<config::GuaranteedShape>&);
--- a/src/ctl/text_file.cc
+++ b/src/ctl/text_file.cc
@@ -12,7 +12,7 @@
     std::optional<std::string> readFile(const std::string& name)
     {
         std::ifstream file(name, std::ios::binary);
-        std::string bytes(config::maximumTextBytes + 1, '\0');
+        std::string bytes(config::maxConfigurationBytes + 1, '\0');
         if (!file)
             return std::nullopt;
         file.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
@@ -49,8 +49,8 @@
     if (!yaml)
         return { std::nullopt, misuse(context, fmt::format("{} cannot be read", name)) };
     config::ParseOutcome outcome = config::parse(*yaml);
-    if (outcome.text)
-        return { TextFile { *yaml, std::move(*outcome.text) }, ExitCode::Ok };
+    if (outcome.configuration)
+        return { TextFile { *yaml, std::move(*outcome.configuration) }, ExitCode::Ok };
     printFaults(context, name, outcome.faults);
     return { std::nullopt, ExitCode::Refused };
 }
@@ -70,8 +70,8 @@
     force.author = textField(reply.json, "author");
     force.yaml = textField(reply.json, "text");
     config::ParseOutcome outcome = config::parse(force.yaml);
-    if (outcome.text)
-        force.text = std::move(*outcome.text);
+    if (outcome.configuration)
+        force.text = std::move(*outcome.configuration);
     else if (force.version > 0)
         context.console.remark(fmt::format("version {} is in force, but this rattanctl cannot read it", force.version));
     return force;
--- a/src/ctl/text_file.h
+++ b/src/ctl/text_file.h
@@ -12,7 +12,7 @@
 
 struct TextFile {
     std::string yaml;
-    config::Text text;
+    config::Configuration text;
 };
 
 // The text in a file, or its exit code after the faults were printed, one
@@ -31,7 +31,7 @@
     std::int64_t version { 0 };
     std::string author;
     std::string yaml;
-    config::Text text;
+    config::Configuration text;
 };
 
 TextInForce askTextInForce(Context&);
--- a/src/ctl/text_plan.cc
+++ b/src/ctl/text_plan.cc
@@ -9,7 +9,7 @@
 
     using Guarantees = std::map<std::string, std::int64_t>;
 
-    Guarantees guaranteesOf(const config::Text& text)
+    Guarantees guaranteesOf(const config::Configuration& text)
     {
         Guarantees guarantees;
         for (const config::Workspace& workspace : text.workspaces)
@@ -65,7 +65,7 @@
     return sum;
 }
 
-TextPlan planFor(const config::Text& before, const config::Text& after, const std::vector<DomainStatus>& domains)
+TextPlan planFor(const config::Configuration& before, const config::Configuration& after, const std::vector<DomainStatus>& domains)
 {
     const Guarantees old = guaranteesOf(before);
     const Guarantees fresh = guaranteesOf(after);
--- a/src/ctl/text_plan.h
+++ b/src/ctl/text_plan.h
@@ -8,7 +8,7 @@
 // workspaces that use more than their new guarantee. It is an upper bound: only
 // a workspace that has jobs waiting claims anything.
 
-#include "config/text.h"
+#include "config/configuration.h"
 #include "ctl/domain_status.h"
 
 #include <cstdint>
@@ -36,6 +36,6 @@
 
 std::int64_t guaranteedAccelerators(const config::Workspace&);
 
-TextPlan planFor(const config::Text& before, const config::Text& after, const std::vector<DomainStatus>&);
+TextPlan planFor(const config::Configuration& before, const config::Configuration& after, const std::vector<DomainStatus>&);
 
 } // namespace rattan::ctl
--- a/src/entry/auth.cc
+++ b/src/entry/auth.cc
@@ -30,7 +30,7 @@
     return hex;
 }
 
-Result<Caller> authenticate(const std::string& authorizationHeader, const config::Text* text,
+Result<Caller> authenticate(const std::string& authorizationHeader, const config::Configuration* text,
     const std::string& bootstrapSha256)
 {
     if (authorizationHeader.rfind(scheme, 0) != 0 || authorizationHeader.size() > longestToken)
--- a/src/entry/auth.h
+++ b/src/entry/auth.h
@@ -9,7 +9,7 @@
 // taken tells nothing about how close a guess came. Tokens are never logged.
 
 #include "base/error.h"
-#include "config/text.h"
+#include "config/configuration.h"
 
 #include <string>
 #include <string_view>
@@ -31,7 +31,7 @@
 
 // Unauthorized when there is no token or nobody holds it. The text may be null:
 // then only the bootstrap operator is known, and only then is he known.
-Result<Caller> authenticate(const std::string& authorizationHeader, const config::Text* text,
+Result<Caller> authenticate(const std::string& authorizationHeader, const config::Configuration* text,
     const std::string& bootstrapSha256);
 
 } // namespace rattan::entry
--- a/src/entry/config_publisher.cc
+++ b/src/entry/config_publisher.cc
@@ -74,18 +74,18 @@
             std::this_thread::sleep_for(pauseAfterFailure);
             continue;
         }
-        this->ledger.trimmed(page->firstKept);
+        this->ledger.handleTrim(page->firstKept);
         for (const platform::LogRecord& record : page->records)
             this->ledger.apply(record.offset, record.value);
-        const auto verdict = this->ledger.verdictOf(publication.id);
-        if (!verdict || verdict->kind == config::VerdictKind::Undecided) {
+        const auto verdict = this->ledger.outcomeOf(publication.id);
+        if (!verdict || verdict->kind == config::OutcomeKind::Undecided) {
             if (const auto outcome = this->outcomeInForce(publication))
                 return *outcome;
             continue;
         }
-        if (verdict->kind == config::VerdictKind::Ignored)
+        if (verdict->kind == config::OutcomeKind::Ignored)
             return fail(ErrorCode::BadInput, std::string(step), "", verdict->reason);
-        return PublishOutcome { verdict->kind == config::VerdictKind::Accepted, static_cast<std::uint64_t>(verdict->version), verdict->author };
+        return PublishOutcome { verdict->kind == config::OutcomeKind::Accepted, static_cast<std::uint64_t>(verdict->version), verdict->author };
     }
     return fail(ErrorCode::Timeout, std::string(step), std::string(stream), "the text may still come into force; ask for the version later", retryAfter);
 }
--- a/src/entry/config_watch.h
+++ b/src/entry/config_watch.h
@@ -11,7 +11,7 @@
 // never goes back. Thread-safe.
 
 #include "base/periodic_thread.h"
-#include "config/text.h"
+#include "config/configuration.h"
 #include "entry/planner_client.h"
 
 #include <condition_variable>
@@ -26,14 +26,14 @@
     std::uint64_t version { 0 };
     std::string source; // The YAML.
     std::string author;
-    config::Text text;
+    config::Configuration text;
 
     const config::Workspace* workspace(const std::string& name) const;
     const config::Operation* operation(const std::string& service, const std::string& name) const;
 };
 
 // BadInput with every fault of the text.
-using TextParser = std::function<Result<config::Text>(const std::string&)>;
+using TextParser = std::function<Result<config::Configuration>(const std::string&)>;
 
 class ConfigWatch {
 public:
--- a/src/entry/gate.h
+++ b/src/entry/gate.h
@@ -18,7 +18,7 @@
 
 #include "base/clock.h"
 #include "base/error.h"
-#include "config/text.h"
+#include "config/configuration.h"
 #include "entry/executor_table.h"
 #include "entry/rate_meter.h"
 
--- a/src/entry/job_order.cc
+++ b/src/entry/job_order.cc
@@ -33,7 +33,7 @@
         return onWorker * pool.workersPerRack * pool.racks;
     }
 
-    std::int64_t mostThatFit(const records::JobSpec& spec, const config::Text& text, const std::string& domain)
+    std::int64_t mostThatFit(const records::JobSpec& spec, const config::Configuration& text, const std::string& domain)
     {
         std::int64_t fit = 0;
         for (const config::WorkerPool& pool : text.workers) {
@@ -74,7 +74,7 @@
     return order;
 }
 
-Result<void> checkFeasible(const records::JobSpec& spec, const config::Text& text, const std::string& domain,
+Result<void> checkFeasible(const records::JobSpec& spec, const config::Configuration& text, const std::string& domain,
     const config::Workspace* workspace)
 {
     const bool known = std::any_of(text.jobClasses.begin(), text.jobClasses.end(),
@@ -82,9 +82,9 @@
     if (!known)
         return refuse(fmt::format("the text in force has no job class '{}'", spec.jobClass));
     const std::int64_t wanted = spec.members * spec.accelerators;
-    if (workspace && workspace->mostAccelerators > 0 && wanted > workspace->mostAccelerators)
+    if (workspace && workspace->maxAccelerators > 0 && wanted > workspace->maxAccelerators)
         return refuse(fmt::format("the job asks for {} accelerators, workspace '{}' may use {}", wanted, workspace->name,
-            workspace->mostAccelerators));
+            workspace->maxAccelerators));
     const std::int64_t fit = mostThatFit(spec, text, domain);
     if (fit < spec.members)
         return refuse(fmt::format("{} members of {} accelerators, {} cores and {} MB within one {}: the workers declared "
--- a/src/entry/job_order.h
+++ b/src/entry/job_order.h
@@ -4,7 +4,7 @@
 //
 // The body is a job's spec (records/job_record.h) with the caller's key beside it.
 
-#include "config/text.h"
+#include "config/configuration.h"
 #include "records/job_record.h"
 
 #include <string>
@@ -22,7 +22,7 @@
 // Infeasible when the job could not run on the workers that the text declares
 // for the domain even if nothing else ran: the caller is told so at once
 // instead of waiting forever.
-Result<void> checkFeasible(const records::JobSpec&, const config::Text&, const std::string& domain,
+Result<void> checkFeasible(const records::JobSpec&, const config::Configuration&, const std::string& domain,
     const config::Workspace*);
 
 } // namespace rattan::entry
--- a/src/entry/testing/fake_platform.h
+++ b/src/entry/testing/fake_platform.h
@@ -22,9 +22,9 @@
 inline const std::string operatorToken = "token-of-operator";
 
 // What the fake planner serves, whatever the YAML says.
-inline config::Text sampleText()
+inline config::Configuration sampleText()
 {
-    config::Text text;
+    config::Configuration text;
     text.operators = { { "olga", sha256Hex(operatorToken) } };
     text.workers = { { .domain = "a", .racks = 1, .workersPerRack = 2 } };
     text.services = { { .name = "booking",
@@ -117,7 +117,7 @@
     // came to that.
     std::unique_ptr<Program> startEntry(const std::string& instance)
     {
-        auto program = std::make_unique<Program>(this->optionsFor(instance), [](const std::string&) -> Result<config::Text> { return sampleText(); });
+        auto program = std::make_unique<Program>(this->optionsFor(instance), [](const std::string&) -> Result<config::Configuration> { return sampleText(); });
         if (attemptVoid([&] { return program->start(); }))
             return nullptr;
         const bool ready = eventually([&] {
--- a/src/peers/config_keeper.cc
+++ b/src/peers/config_keeper.cc
@@ -14,7 +14,7 @@
 {
     const std::int64_t before = this->ledger.inForce().number;
     this->firstKept = std::max(this->firstKept, page.firstKept);
-    this->ledger.trimmed(page.firstKept);
+    this->ledger.handleTrim(page.firstKept);
     for (const platform::LogRecord& record : page.records) {
         // A restate may send the reader back; the rest of the page is read then.
         if (record.offset != this->ledger.next())
--- a/src/planner/decision_loop.cc
+++ b/src/planner/decision_loop.cc
@@ -88,11 +88,11 @@
 void DecisionLoop::takeText()
 {
     const config::Version version = this->peers.textInForce();
-    if (version.number <= this->textGiven || !version.text)
+    if (version.number <= this->textGiven || !version.configuration)
         return;
     this->textGiven = version.number;
     const std::lock_guard lock(this->shared.mutex);
-    this->shared.planner.applyText(static_cast<std::uint64_t>(version.number), *version.text, SystemClock().now());
+    this->shared.planner.applyText(static_cast<std::uint64_t>(version.number), *version.configuration, SystemClock().now());
 }
 
 void DecisionLoop::followMembership()
--- a/src/planner/domain_planner.cc
+++ b/src/planner/domain_planner.cc
@@ -73,7 +73,7 @@
 {
 }
 
-void DomainPlanner::applyText(std::uint64_t version, const config::Text& newText, Millis now)
+void DomainPlanner::applyText(std::uint64_t version, const config::Configuration& newText, Millis now)
 {
     if (version <= this->textVersion)
         return;
@@ -207,7 +207,7 @@
 {
     decide::TextChanged changed;
     for (const config::Workspace& workspace : this->text.workspaces) {
-        decide::WorkspaceRule rule { this->workspaceNames.idOf(workspace.name), {}, workspace.mostAccelerators };
+        decide::WorkspaceRule rule { this->workspaceNames.idOf(workspace.name), {}, workspace.maxAccelerators };
         for (const config::GuaranteedShape& shape : workspace.guarantees)
             rule.guarantees.push_back({ shape.count, shape.accelerators, static_cast<decide::Adjacency>(shape.within) });
         changed.workspaces.push_back(std::move(rule));
--- a/src/planner/domain_planner.h
+++ b/src/planner/domain_planner.h
@@ -24,7 +24,7 @@
 //
 // Not thread-safe; the decision loop and the RPC service share it under a lock.
 
-#include "config/text.h"
+#include "config/configuration.h"
 #include "decide/decide.h"
 #include "planner/job_book.h"
 #include "planner/job_tail.h"
@@ -62,7 +62,7 @@
 public:
     explicit DomainPlanner(DomainPlannerOptions);
 
-    void applyText(std::uint64_t version, const config::Text&, Millis now);
+    void applyText(std::uint64_t version, const config::Configuration&, Millis now);
     void applyRecord(const JobTailItem&, Millis now);
 
     // Starts to take over; nothing if that has begun already.
@@ -139,7 +139,7 @@
     std::uint64_t ownEpoch { 0 };
     std::uint64_t highestEpochSeen { 0 };
     std::uint64_t textVersion { 0 };
-    config::Text text;
+    config::Configuration text;
     JobBook book;
 
     NameTable workerNames;
--- a/src/planner/testing/domain_planner_test.cc
+++ b/src/planner/testing/domain_planner_test.cc
@@ -96,7 +96,7 @@
 
         std::string state(const std::string& key) const { return this->planner.report("guides", key)->state; }
 
-        config::Text text;
+        config::Configuration text;
         DomainPlanner planner;
         Survey survey;
         Millis now { 1000 };
--- a/testing/fuzz/fuzz_config_record.cc
+++ b/testing/fuzz/fuzz_config_record.cc
@@ -15,7 +15,7 @@
     std::uint64_t trim = 0;
     for (std::string line; std::getline(lines, line);) {
         if (line.empty())
-            ledger.trimmed(++trim);
+            ledger.handleTrim(++trim);
         const rattan::Json record = rattan::Json::parse(line, nullptr, false);
         const std::int64_t before = ledger.inForce().number;
         ledger.apply(ledger.next(), record);
--- a/testing/fuzz/fuzz_config_text.cc
+++ b/testing/fuzz/fuzz_config_text.cc
@@ -12,7 +12,7 @@
     const std::string yaml(reinterpret_cast<const char*>(data), size);
     const rattan::config::ParseOutcome outcome = rattan::config::parse(yaml);
     // Either a text or faults, never both and never neither.
-    if (outcome.text.has_value() != outcome.faults.empty())
+    if (outcome.configuration.has_value() != outcome.faults.empty())
         std::abort();
     return 0;
 }
