--- a/src/config/check_guarantees.cc
+++ b/src/config/check_guarantees.cc
@@ -1,7 +1,7 @@
-// The guarantees of a text are counted in each failure domain, so every domain
-// must be able to hold them all at once. When one cannot, the shape that breaks
-// it is found by halving: the shortest run of shapes, in the order of the text,
-// that does not fit ends with the shape to name.
+// The guarantees of a configuration apply to each failure domain, so every domain
+// must have room for all of them at the same time. If one has not, a binary search
+// finds the shortest prefix of the shapes, in the order of the configuration, that
+// does not fit; its last shape is the one reported.
 
 #include "config/checks.h"
 #include "config/packing.h"
@@ -77,10 +77,10 @@
             nameOf(shape.shape->within), shape.workspace->name);
     }
 
-    // The shape with which a domain is full, if it is.
+    // The index of the first shape that does not fit into a domain, or empty if all fit.
     struct Overflow {
         std::optional<std::size_t> shape;
-        bool isProven { false };
+        bool isProven { false }; // False if the search ran out of steps.
     };
 
     Overflow findOverflow(const Domain& domain, const std::vector<Shape>& shapes, SearchBudget& budget)
@@ -125,8 +125,8 @@
         return true;
     }
 
-    // A workspace that may not run what it is guaranteed would be promised
-    // something that can never be kept.
+    // Rejects a workspace whose limit is below its guarantees: such a guarantee
+    // could never be met.
     void checkAcceleratorLimits(const Configuration& configuration, ParseState& state)
     {
         for (std::size_t i = 0; i < configuration.workspaces.size(); ++i) {
@@ -151,7 +151,7 @@
     if (shapes.empty() || !isPieceCountBounded(shapes, state))
         return;
     SearchBudget budget;
-    std::map<std::vector<RackCapacity>, Overflow> overflowByRacks; // Domains alike are searched once.
+    std::map<std::vector<RackCapacity>, Overflow> overflowByRacks; // Identical domains are searched once.
     for (const auto& [name, domain] : domains) {
         const auto [entry, isNew] = overflowByRacks.try_emplace(domain.racks);
         if (isNew)
--- a/src/config/checks.cc
+++ b/src/config/checks.cc
@@ -24,9 +24,9 @@
         }
     }
 
-    // Walks the services depth first; a dependency on a service that is still
-    // open closes a cycle. The walk keeps its own stack, for a chain may be as
-    // long as the list of services.
+    // Depth-first search over the services. A dependency on a service that is on
+    // the current path closes a cycle. The search is iterative with an explicit
+    // stack, because a chain can be as long as the list of services.
     class DependencyCycleSearch {
     public:
         DependencyCycleSearch(const Configuration& configuration, ParseState& state)
@@ -139,8 +139,8 @@
     DependencyCycleSearch(configuration, state).run();
 }
 
-// Two holders of one token could not be told apart: a caller would act with
-// the rights of whichever is found first.
+// Rejects tokens with two holders. They could not be distinguished, and a caller
+// would get the rights of whichever holder is found first.
 void checkTokens(const Configuration& configuration, ParseState& state)
 {
     std::map<std::string_view, std::string> holders;
--- a/src/config/checks.h
+++ b/src/config/checks.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// What a text must hold beyond the form of each value: names that are unique
-// and known, dependencies without cycles, tokens of one holder each, and
-// guarantees that can all be met at once in every failure domain.
+// Validation across several values of a configuration: names are unique and
+// references resolve, dependencies have no cycle, no two holders share a token,
+// and every failure domain can satisfy all guarantees at the same time.
 
 #include "config/section_reader.h"
 
 namespace rattan::config {
 
-// Guaranteed pieces that one text may name in all, and workers of one domain.
+// Limits on the guaranteed pieces of a configuration in total, and on the workers of a failure domain.
 inline constexpr std::int64_t maxPieces = 4096;
 inline constexpr std::int64_t maxWorkersPerDomain = 4096;
 
--- a/src/config/configuration.h
+++ b/src/config/configuration.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The operators' text, as the rest of the system sees it once it is parsed and
-// checked. Plain data; config/parse.h makes it from YAML and says what is wrong
-// with a text that is refused.
+// The operators' configuration after parsing and validation, as plain data.
+// config/parse.h reads it from YAML and reports the faults of a configuration
+// that is rejected.
 
 #include "base/clock.h"
 
@@ -14,15 +14,15 @@
 namespace rattan::config {
 
 enum class Urgency {
-    Urgent, // Before all else.
+    Urgent, // Scheduled before all other work.
     Ordinary,
     Patient,
 };
 
 std::string_view nameOf(Urgency);
 
-// Within what the members of a gang, or the accelerators of a guaranteed shape,
-// have to lie.
+// The unit within which all members of a gang, or all accelerators of one piece
+// of a guaranteed shape, must be placed.
 enum class Adjacency {
     Worker,
     Rack,
@@ -31,12 +31,12 @@
 
 std::string_view nameOf(Adjacency);
 
-// One operation that executors of a service run on request.
+// An operation that the executors of a service run on request.
 struct Operation {
     std::string name;
     Urgency urgency { Urgency::Ordinary };
     bool idempotent { false };
-    Millis deadline { 10000 }; // For callers that name none.
+    Millis deadline { 10000 }; // Default for requests without a deadline.
 };
 
 struct Service {
@@ -45,19 +45,20 @@
     std::vector<Operation> operations;
 };
 
-// One kind of job that runs on workers.
+// Properties shared by all jobs of one class.
 struct JobClass {
     std::string name;
     Urgency urgency { Urgency::Patient };
     bool idempotent { true };
     bool checkpointable { false };
-    Millis checkpointTime { 30000 }; // Longest time a checkpoint takes.
-    bool stoppable { true }; // May be stopped and started again from nothing.
+    Millis checkpointTime { 30000 }; // Upper bound for the time of one checkpoint.
+    bool stoppable { true }; // Whether the job may be stopped and restarted from the beginning.
     std::int64_t attempts { 3 };
 };
 
-// `count` pieces of `accelerators` each, every piece within one worker, rack or
-// failure domain; counted in each failure domain.
+// A guarantee of `count` pieces of `accelerators` accelerators each, where every
+// piece lies within one worker, rack or failure domain. It applies to each
+// failure domain separately.
 struct GuaranteedShape {
     std::int64_t count { 1 };
     std::int64_t accelerators { 1 };
@@ -66,9 +67,9 @@
 
 struct Workspace {
     std::string name;
-    std::string tokenSha256; // 64 hex digits.
+    std::string tokenSha256; // SHA-256 of the token, 64 hex digits.
     std::vector<GuaranteedShape> guarantees;
-    std::int64_t maxAccelerators { 0 }; // Running at once in one domain; 0: no limit.
+    std::int64_t maxAccelerators { 0 }; // In use at the same time in one failure domain; 0 means no limit.
     std::int64_t maxQueuedJobs { 2000 };
     std::int64_t requestsPerSecond { 200 };
 };
@@ -78,14 +79,14 @@
     std::string tokenSha256;
 };
 
-// Workers of one shape that a failure domain is declared to have.
+// A group of identical workers that the configuration declares for a failure domain.
 struct WorkerPool {
     std::string domain;
     std::int64_t racks { 1 };
     std::int64_t workersPerRack { 8 };
-    std::int64_t accelerators { 8 }; // Of each worker; likewise below.
+    std::int64_t accelerators { 8 }; // Per worker, like the fields below.
     std::int64_t cores { 64 };
-    std::int64_t memoryMb { 131072 };
+    std::int64_t memoryMb { 131072 }; // In MiB.
 };
 
 struct Configuration {
--- a/src/config/keys.h
+++ b/src/config/keys.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Every key that an operators' text may have, in one table: the parser takes
-// ranges and wording from it, and docs/CONFIG.md is held against it by a test.
+// The table of all keys of a configuration. The parser takes ranges and messages
+// from it, and a test compares docs/CONFIG.md with it.
 
 #include <cstdint>
 #include <string>
@@ -11,8 +11,8 @@
 namespace rattan::config {
 
 enum class Section {
-    TopLevel, // The top level.
-    Operators, // One item of the list of that name; likewise below.
+    TopLevel,
+    Operators, // One item of the list `operators`; the sections below are items of lists, too.
     Workers,
     Services,
     Operations,
@@ -21,7 +21,7 @@
     Guarantees,
 };
 
-// The list's path without indices, for example "workspaces.guarantees".
+// The section's path without list indices, for example "workspaces.guarantees".
 std::string_view nameOf(Section);
 
 enum class ValueKind {
@@ -34,7 +34,7 @@
     Flag,
     Urgency,
     Adjacency,
-    Items, // A list of maps; the range is that of its length.
+    Items, // A list of maps; the range limits its length.
 };
 
 struct Key {
@@ -42,19 +42,19 @@
     std::string_view name;
     ValueKind kind;
     bool required;
-    std::int64_t min; // In milliseconds for durations, MiB for memory.
+    std::int64_t min; // Like max: in milliseconds for durations, in MiB for memory.
     std::int64_t max;
 };
 
 const std::vector<Key>& allKeys();
 
-// The key of that name; it must exist.
+// Returns the key of that name. Throws std::logic_error if there is none.
 const Key& keyOf(Section, std::string_view name);
 
-// What values the key takes, as shown to operators.
+// Describes the valid values of the key in messages to operators.
 std::string describeAccepted(const Key&);
 
-// "a, b, c"
+// The names of the section's keys, as "a, b, c".
 std::string joinKeyNames(Section);
 
 inline constexpr std::size_t maxNameBytes = 63;
--- a/src/config/ledger.cc
+++ b/src/config/ledger.cc
@@ -1,10 +1,10 @@
-// Why every reader ends alike. By induction over offsets: two readers that know
-// the version at offset n agree on it, and the rule looks at nothing but that
-// version and the record at n, so they agree at n+1. A reader comes to know a
-// version in three ways: it starts at offset 0 with version 0, it reads on, or
-// it takes a checkpoint, which another reader computed in one of these ways.
-// Ids of publications serve to name a repeat and never decide, because a reader
-// that starts late has not seen them all.
+// All readers agree on the version at every offset, by induction over offsets: two
+// readers that know the version at offset n agree on it, and the rule depends only
+// on that version and the record at n, so they agree at n+1. A reader learns a
+// version in three ways: it starts at offset 0 with version 0, it applies the next
+// record, or it takes a checkpoint, which another reader computed in one of these
+// ways. Publication ids only identify repeats in reported outcomes and never affect
+// the version, because a reader that starts late has not seen all of them.
 
 #include "config/ledger.h"
 
@@ -82,8 +82,8 @@
     this->firstKept = std::max(this->firstKept, newFirstKept);
     if (this->nextOffset >= this->firstKept)
         return;
-    // Records went that were never read: any of them may have changed the
-    // version, so a publish can no longer be judged from here.
+    // Unread records were trimmed. Any of them may have changed the version, so
+    // publishes cannot be evaluated until a checkpoint is applied.
     this->nextOffset = this->firstKept;
     this->streamVersion.reset();
 }
--- a/src/config/ledger.h
+++ b/src/config/ledger.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Which text is in force: the rule that every failure domain computes alike
-// from the order of the log's `config` stream.
+// Computes the configuration version in force from the log's `config` stream.
+// All failure domains apply the same rule to the records in the same order, and
+// so agree on the version.
 //
 //     Ledger ledger;
 //     for (;;) {
@@ -12,21 +13,24 @@
 //     }
 //     use(ledger.inForce());
 //
-// A publish is accepted if it amends the version that stands at its place in
-// the stream and its text passes the checks; the version it makes is one above.
-// All else is lost or ignored, and says to whom or why. Since the version only
-// rises, an append that is repeated after a lost reply cannot count twice.
+// A publish record is accepted if it amends the version that is current at its
+// offset and its configuration is valid; it creates the next version number. Every
+// other publish is lost or ignored, and its outcome contains the winning version or
+// the reason. Version numbers only increase, so an append that is repeated after a
+// lost reply is applied at most once.
 //
-// The log is trimmed and instances keep nothing, so the text in force is
-// written again in a restate. A restate says up to which offset its writer had
-// read (`upto`): publishes between there and the restate itself may have moved
-// the version on. A reader that starts behind the trim takes the restate as the
-// state at `upto`, and goes back to read on from there; next() then falls. Until
-// it finds one whose `upto` is still kept, it does not know its place: the text
-// in force may be old, isCurrent() is false, and no publish is judged.
+// The log is trimmed and instances have no storage of their own, so the configuration
+// in force is written again in restate records. A restate contains the offset up
+// to which its writer had read (`upto`): publishes between that offset and the
+// restate itself may have created newer versions. A reader that starts after the
+// trim takes the restate as the state at `upto` and continues reading there, which
+// decreases next(). Until it finds a restate whose `upto` has not been trimmed, it
+// does not know the version at its offset: the version in force may be outdated,
+// isCurrent() is false, and the outcome of a publish is undecided.
 //
-// inForce() never goes back, whatever is read, trimmed or adopted.
-// Not thread-safe; parses a text per accepted publish.
+// The version of inForce() never decreases, whatever is read, trimmed or adopted.
+// Not thread-safe. Parses a configuration for each publish that amends the current
+// version, and for each checkpoint that is newer than the version in force.
 
 #include "base/json.h"
 #include "config/configuration.h"
@@ -41,41 +45,42 @@
 namespace rattan::config {
 
 struct Version {
-    std::int64_t number { 0 }; // 0: nothing has been published.
+    std::int64_t number { 0 }; // 0 if nothing has been published.
     std::string yaml;
     std::string author;
     std::shared_ptr<const Configuration> configuration; // Null for version 0.
 };
 
-// A version together with the place in the stream at which it stood.
+// A version and the offset in the stream at which it was current.
 struct Checkpoint {
     std::int64_t number { 0 };
     std::string yaml;
     std::string author;
-    std::optional<std::uint64_t> upto; // All records before this offset were read.
+    std::optional<std::uint64_t> upto; // The writer had read all records before this offset.
 };
 
+// The content of a publish record.
 struct Publication {
     std::int64_t amends { 0 };
     std::string yaml;
     std::string author;
-    std::string id; // Unique; the same again when an append is repeated.
+    std::string id; // Unique per publication; repeated appends of it have the same id.
 };
 
 enum class OutcomeKind {
     Accepted,
-    Lost, // Another publish came first.
-    Ignored, // Not a record that can count, or a repeat.
-    Undecided, // This reader does not know its place yet.
+    Lost, // Another publish of the same version came first.
+    Ignored, // Invalid, out of order, without effect, or a repeat of an accepted publication.
+    Undecided, // The version at the reader's offset is not known.
 };
 
 std::string_view nameOf(OutcomeKind);
 
 struct PublishOutcome {
     OutcomeKind kind { OutcomeKind::Undecided };
-    std::int64_t version { 0 }; // The version made, or the one that won.
-    std::string author; // Whose version that is.
-    std::string reason; // For people; empty when accepted.
+    std::int64_t version { 0 }; // The created version, or the version that won instead.
+    std::string author; // The author of that version.
+    std::string reason; // Human-readable; empty when accepted.
 };
 
 Json publishRecord(const Publication&);
@@ -85,31 +90,33 @@
 public:
     static constexpr std::size_t maxStoredOutcomes = 512;
 
-    // Records before this offset are gone. A ledger that has not read up to it
-    // loses its place.
+    // Reports that records before this offset were trimmed. A ledger that has not read
+    // up to it is not current afterwards.
     void handleTrim(std::uint64_t newFirstKept);
 
-    // Only the record at next() counts; any other is ignored.
+    // Applies the record at next(); a record with any other offset is ignored.
     PublishOutcome apply(std::uint64_t offset, const Json& record);
 
-    // Takes a version that a peer has in force. True when it was news.
+    // Applies the checkpoint of a peer. Returns whether the version in force advanced.
     bool adopt(const Checkpoint&);
 
-    // The offset to read next; falls when a restate sends the reader back.
+    // The offset to read next; decreases when a restate refers to an earlier offset.
     std::uint64_t next() const { return this->nextOffset; }
 
+    // Whether the version at next() is known.
     bool isCurrent() const { return this->streamVersion.has_value(); }
     const Version& inForce() const { return this->activeVersion; }
 
-    // How a publication ended, for the last maxStoredOutcomes of them.
+    // The outcome of a publication, or empty if it is not among the last maxStoredOutcomes.
     std::optional<PublishOutcome> outcomeOf(const std::string& publication) const;
 
-    // What a restate or a peer may be given; empty while this reader does not
-    // know its place or nothing is published.
+    // The version in force and its offset, for a restate or a peer. Empty while the
+    // ledger is not current, if a newer version is in force than the one at
+    // next(), or if nothing has been published.
     std::optional<Checkpoint> checkpoint() const;
 
 private:
-    // What the log's order says at nextOffset; `activeVersion` may be ahead of it.
+    // The version that is current at nextOffset; activeVersion may be newer.
     struct StreamVersion {
         std::int64_t number { 0 };
         std::string author;
@@ -119,7 +126,7 @@
     PublishOutcome evaluatePublish(const Json& record);
     PublishOutcome evaluateRestate(std::uint64_t offset, const Json& record);
     PublishOutcome applyPublication(const Publication&);
-    // Put a version in force if it is above the present one, and its text sound.
+    // Puts a version in force if it is newer and valid. Returns whether it did.
     bool advanceTo(const Checkpoint&);
     bool advanceTo(Version);
     void storeOutcome(const std::string& publication, const PublishOutcome&);
--- a/src/config/packing.cc
+++ b/src/config/packing.cc
@@ -1,16 +1,18 @@
 // Pieces are placed from the most to the least constrained: those within a
 // worker, largest first, then those within a rack, largest first. Pieces within
-// the domain may lie anywhere, so for them only the total counts, and that is
-// checked before all else. Each piece is tried on the tightest place first; a
-// place that looks like one already listed for the same piece is left out, for
-// it can only fail the same way. Best fit alone finds nearly every packing there
-// is, and is tried first. If it runs into a dead end, the search begins anew with
-// backtracking, which makes a "no" a proof, and gives up every partial packing
-// that a count shows to be hopeless: pieces of at least some size need as many
-// places of that size as there are such pieces.
+// the domain may lie anywhere, so only the total matters for them, and the total
+// is checked before the search. Each piece is tried on the tightest place first
+// (best fit). A place equivalent to one already listed for the same piece is
+// skipped, because it would fail in the same way.
 //
-// The search keeps its own stack: thousands of pieces would overflow that of a
-// thread that serves HTTP.
+// Best fit without backtracking finds nearly every packing that exists and is
+// tried first. If it fails, a search with backtracking follows, whose DoesNotFit
+// is a proof. It abandons every partial packing that counting proves infeasible:
+// pieces of at least some size need as many places of that size as there are
+// such pieces.
+//
+// The search is iterative with an explicit stack, because recursion over thousands
+// of pieces would overflow the stack of a thread that serves HTTP.
 
 #include "config/packing.h"
 
@@ -25,17 +27,17 @@
 namespace {
 
     struct Rack {
-        RackCapacity workers; // Ascending, so that racks alike compare equal.
+        RackCapacity workers; // Sorted ascending, so that equivalent racks compare equal.
         std::int64_t free { 0 };
 
         bool operator==(const Rack&) const = default;
         bool operator<(const Rack& other) const { return std::tie(this->free, this->workers) < std::tie(other.free, other.workers); }
     };
 
-    // Sorting a rack in costs about as much as looking at so many.
+    // The approximate cost of sorting one rack into the order of candidates, in steps.
     constexpr std::int64_t stepsPerRackSorted = 16;
 
-    // Bounds the memory of a search to a few megabytes.
+    // The number of integers held in searched states; limits the memory of a search to a few megabytes.
     constexpr std::int64_t maxSearchedStatesSize = 200000;
 
     struct Place {
@@ -43,15 +45,16 @@
         std::size_t worker; // Unused for a piece within a rack.
     };
 
-    // One piece with the places still to try for it.
+    // One level of the search: a piece and its candidate places, of which those from nextPlace on are untried.
     struct Level {
         std::vector<Place> places;
         std::size_t nextPlace { 0 };
-        Rack rackBefore; // The rack of the place being tried, as it was.
+        Rack rackBefore; // The rack of the place being tried, before the piece was placed.
     };
 
-    // Racks with the same free total. Once a piece within a rack is placed, all
-    // within a worker lie already, and only the total still matters.
+    // Whether placing the piece in either rack leads to the same result; both must have the
+    // same free total. For a piece within a rack the total is enough, because all
+    // pieces within a worker are placed before it.
     bool isEquivalent(const Piece& piece, const Rack& a, const Rack& b) { return piece.within == Adjacency::Rack || a == b; }
 
     class Search {
@@ -74,7 +77,7 @@
         }
 
     private:
-        // Without backtracking, DoesNotFit only says that best fit found nothing.
+        // Without backtracking, DoesNotFit only means that best fit found no packing.
         Fit search(bool canBacktrack)
         {
             if (canBacktrack && this->isInfeasible(0))
@@ -99,8 +102,10 @@
             return Fit::DoesNotFit;
         }
 
-        // Pieces alike can be placed in many orders that leave the same room. What
-        // was tried from such a state once has failed and would fail again.
+        // Adds the current state to the searched states; returns false if it was already there.
+        // Equal pieces can be placed in many orders that leave the same free accelerators.
+        // A search from a state that was searched before would fail again. A state that
+        // exceeds maxSearchedStatesSize is only looked up.
         bool addStateIfNew()
         {
             std::vector<Rack> state = this->racks;
@@ -116,10 +121,10 @@
             return isNew;
         }
 
-        // Whether the pieces from `first` on cannot all be placed, by counting alone.
+        // Whether counting alone proves that the pieces from `first` on cannot all be placed.
         bool isInfeasible(std::size_t first)
         {
-            std::size_t groupStart = first; // Where the pieces within the same kind of place begin.
+            std::size_t groupStart = first; // Index of the first piece with the same adjacency.
             for (std::size_t i = first; i < this->pieces.size(); ++i) {
                 if (this->pieces[i].within != this->pieces[groupStart].within)
                     groupStart = i;
@@ -131,7 +136,7 @@
             return false;
         }
 
-        // How many pieces of this size there is room for.
+        // The number of pieces of this size that fit.
         std::int64_t countPlaces(const Piece& piece)
         {
             std::int64_t count = 0;
@@ -172,7 +177,7 @@
         {
             this->stepsLeft -= stepsPerRackSorted * static_cast<std::int64_t>(this->racks.size());
             std::vector<Place> places;
-            std::vector<std::size_t> distinctRacks; // Racks with the same free total, no two alike.
+            std::vector<std::size_t> distinctRacks; // Racks with the current free total, no two equivalent.
             for (const std::size_t index : this->racksTightestFirst(piece.accelerators)) {
                 const Rack& rack = this->racks[index];
                 if (!distinctRacks.empty() && this->racks[distinctRacks.front()].free != rack.free)
@@ -212,12 +217,12 @@
         std::vector<Rack> racks;
         std::vector<Piece> pieces;
         std::int64_t stepsLeft;
-        std::set<std::pair<std::size_t, std::vector<Rack>>> searchedStates; // With the number of pieces placed.
+        std::set<std::pair<std::size_t, std::vector<Rack>>> searchedStates; // Each with the number of pieces placed.
         std::int64_t searchedStatesSize { 0 };
         std::vector<Level> levels;
     };
 
-    // Worker before rack; larger before smaller.
+    // Orders pieces within a worker before pieces within a rack, and larger before smaller ones.
     bool isPlacedBefore(const Piece& a, const Piece& b)
     {
         if (a.within != b.within)
@@ -225,8 +230,9 @@
         return a.accelerators > b.accelerators;
     }
 
-    // A piece of one accelerator fits wherever anything is free, and a piece
-    // within the domain lies anywhere: the total speaks for both.
+    // Whether the check of the total is sufficient for this piece: a piece of one
+    // accelerator fits wherever an accelerator is free, and a piece within the domain
+    // may be spread over all workers.
     bool isCoveredByTotal(const Piece& piece) { return piece.within == Adjacency::Domain || piece.accelerators <= 1; }
 
 } // namespace
--- a/src/config/packing.h
+++ b/src/config/packing.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// Whether guaranteed shapes fit on the workers of one failure domain, all at
-// once.
+// Decides whether guaranteed shapes fit on the workers of one failure domain at
+// the same time.
 //
 //     SearchBudget budget;
 //     const Fit fit = fits(racks, pieces, budget);
 //
-// A piece within a worker takes accelerators of one worker; within a rack, of
-// any workers of one rack; within the domain, of any workers. Fits and
-// DoesNotFit are both proved. Packing is NP-hard, so a search that uses its
-// budget up ends with Undecided; the budget counts looks and not
-// time, so every instance gets the same answer.
+// A piece within a worker uses accelerators of one worker; within a rack, of any
+// workers of one rack; within the domain, of any workers. Fits and DoesNotFit are
+// both proven. Packing is NP-hard, so a search that exhausts its budget returns
+// Undecided. The budget counts steps instead of time, so every instance gets the
+// same result.
 
 #include "config/configuration.h"
 
@@ -19,12 +19,13 @@
 
 namespace rattan::config {
 
+// Accelerators that must be placed together within one unit.
 struct Piece {
     std::int64_t accelerators { 0 };
     Adjacency within { Adjacency::Worker };
 };
 
-// Free accelerators of each worker of one rack.
+// The free accelerators of each worker of one rack.
 using RackCapacity = std::vector<std::int64_t>;
 
 enum class Fit {
@@ -33,9 +34,9 @@
     Undecided,
 };
 
-// Shared by all searches of one text, so that its cost is bounded as a whole; a
-// single search has a bound of its own, so that one that is hard does not leave
-// the others without. Counted in workers and racks looked at.
+// The budget shared by all searches of one configuration, which bounds their total
+// cost. Each search also has a limit of its own, so that one hard search cannot use
+// the budget of the others. A step is the examination of one worker or rack.
 struct SearchBudget {
     static constexpr std::int64_t maxStepsPerSearch = 20000000;
 
--- a/src/config/parse.cc
+++ b/src/config/parse.cc
@@ -1,8 +1,8 @@
-// Three passes: YAML to bounded nodes, nodes to fields with every value checked
-// against the table of keys, then the checks that look at several values. The
-// last pass runs on the fields as far as they could be read, so that one round
-// shows its faults too; only the search for a packing needs sound workers and
-// guarantees.
+// Parsing has three passes: YAML to a bounded tree of nodes, nodes to fields with
+// every value validated against the table of keys, then the checks that involve
+// several values. The last pass also runs if some fields are invalid, so that its
+// faults are reported together with theirs. Only the packing search is skipped
+// unless workers and guarantees are valid.
 
 #include "config/parse.h"
 
@@ -90,8 +90,9 @@
         return configuration;
     }
 
-    // A default in place of a wrong amount would make the search speak of numbers
-    // that nobody wrote.
+    // Whether a fault rules out the packing search. An invalid amount leaves the
+    // default in its field, and the search would report faults with numbers that
+    // are not in the operators' text.
     bool concernsPacking(const Fault& fault)
     {
         return fault.path.empty() || fault.path.rfind("workers", 0) == 0 || fault.path.find("guarantees") != std::string::npos
--- a/src/config/parse.h
+++ b/src/config/parse.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// From the operators' YAML to a checked Text.
+// Parses the operators' YAML into a validated Configuration.
 //
 //     const ParseOutcome outcome = parse(yaml);
 //     if (!outcome.configuration) {
@@ -8,12 +8,14 @@
 //             fmt::print("{}\n", describe(fault));
 //     }
 //
-// Either there is a text and no fault, or no text and every fault. The same
-// bytes give the same outcome on every instance: nothing but the argument is
-// looked at, and the search behind the guarantee check counts steps, not time.
+// The outcome has either a configuration and no faults, or no configuration and
+// all faults. The same bytes give the same outcome on every instance: parsing
+// depends on nothing but its argument, and the search that checks the guarantees
+// is limited by a number of steps, not by time.
 //
-// A hostile text costs little: it is bounded in size, depth, nodes and list
-// lengths, and anchors and aliases are refused. docs/CONFIG.md lists every key.
+// The cost of hostile input is bounded: size, depth, number of nodes and lengths
+// of lists are limited, and anchors and aliases are rejected. docs/CONFIG.md lists
+// every key.
 
 #include "config/configuration.h"
 #include "config/fault.h"
--- a/src/config/section_reader.cc
+++ b/src/config/section_reader.cc
@@ -66,7 +66,7 @@
         c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
     constexpr std::size_t digits = 64;
     if (lowered.size() != digits || !std::all_of(lowered.begin(), lowered.end(), isHexByte)) {
-        // The value is not shown: an operator may have put the token itself here.
+        // The message omits the value, because it may be the token itself, entered by mistake.
         this->state.faults.push_back({ value->at, this->pathOf(key), "not a SHA-256", describeAccepted(keyOf(this->section, key)) });
         return;
     }
--- a/src/config/section_reader.h
+++ b/src/config/section_reader.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Reads one map of the operators' text into fields, noting every fault.
+// Reads one map of the operators' YAML into fields and records every fault.
 //
 //     SectionReader reader(state, Section::Workspaces, node, "workspaces[0]");
 //     reader.name("name", workspace.name);
 //     reader.number("most_queued_jobs", workspace.maxQueuedJobs);
 //     reader.finish();
 //
-// Ranges and wording come from the table in config/keys.h. A target keeps the
-// value it has when its key is absent or wrong.
+// Ranges and messages come from the table in config/keys.h. If a key is missing or
+// its value is invalid, the target keeps its previous value.
 
 #include "config/configuration.h"
 #include "config/keys.h"
@@ -20,11 +20,11 @@
 
 namespace rattan::config {
 
-// What one parse gathers.
+// The input and the collected results of one parse.
 struct ParseState {
     const YamlTree& tree;
     Faults faults;
-    std::map<std::string, Position> positions; // By key path, for faults found later.
+    std::map<std::string, Position> positions; // By key path, for faults found after reading.
 };
 
 class SectionReader {
@@ -53,7 +53,7 @@
         }
     }
 
-    // Notes keys that are unknown or stand twice.
+    // Records faults for unknown and duplicate keys.
     void finish();
 
 private:
--- a/src/config/testing/ledger_test.cc
+++ b/src/config/testing/ledger_test.cc
@@ -22,7 +22,7 @@
         return publishRecord({ amends, yamlNamed(name), name, name });
     }
 
-    // The kept part of the stream, as a reader sees it.
+    // A stream whose records before firstKept are trimmed.
     struct Stream {
         std::vector<Json> records;
         std::uint64_t firstKept { 0 };
@@ -30,7 +30,7 @@
         void trim(std::uint64_t upto) { this->firstKept = std::max(this->firstKept, upto); }
     };
 
-    // Reads up to an offset, going back where the ledger asks for it.
+    // Reads up to an offset, from wherever next() points after each record.
     void readUpTo(Ledger& ledger, const Stream& stream, std::uint64_t end)
     {
         ledger.handleTrim(stream.firstKept);
@@ -58,8 +58,8 @@
 public:
     void firstOfTwoConcurrentPublishesWins()
     {
-        // Two operators publish at the same moment; one of them must learn that
-        // the other's text is in force, or would believe that its own is.
+        // Two operators amend the same version at the same time. The outcome of the
+        // second must be Lost, otherwise both would take their own configuration to be in force.
         Ledger ledger;
         CPPUNIT_ASSERT(ledger.apply(0, publishRecordOf(0, "anna")).kind == OutcomeKind::Accepted);
         const PublishOutcome lostOutcome = ledger.apply(1, publishRecordOf(0, "bert"));
@@ -74,8 +74,8 @@
 
     void repeatedAppendIsAppliedOnce()
     {
-        // The log takes an append and its reply is lost, so the publisher
-        // appends again. Counted twice, it would undo what came in between.
+        // The reply to an append is lost and the publisher appends the record again.
+        // If it were applied twice, it would undo publishes in between.
         Ledger ledger;
         ledger.apply(0, publishRecordOf(0, "anna"));
         ledger.apply(1, publishRecordOf(1, "bert"));
@@ -111,9 +111,10 @@
 
     void staleRestateDoesNotMakeReaderCurrent()
     {
-        // An instance writes version 1 again while a publish makes version 2. The
-        // publish lands first and is then trimmed. A fresh instance that took the
-        // restate at face value would accept a publish that everybody else refused.
+        // An instance restates version 1 while a publish creates version 2. The publish
+        // is appended first and then trimmed. A new instance that took the restate as
+        // the state at the restate's own offset would accept a publish that is lost on
+        // all others.
         Stream stream;
         stream.records = { publishRecordOf(0, "anna") };
         Ledger writer;
@@ -139,8 +140,8 @@
 
     void readerBehindTrimDecidesNoPublish()
     {
-        // An instance is cut off until the records after its place are trimmed.
-        // It goes on with the text it has, and must not judge publishes by it.
+        // An instance is disconnected until records that it has not read are trimmed.
+        // It keeps its configuration, but must not evaluate publishes against it.
         Stream stream;
         stream.records = { publishRecordOf(0, "anna"), publishRecordOf(1, "bert"), publishRecordOf(2, "carla"), publishRecordOf(1, "dora") };
         Ledger ledger;
@@ -183,10 +184,10 @@
 
     void readersAgreeFromAnyTrimOffset()
     {
-        // Operators race, appends are repeated, restates arrive late, texts are
-        // broken and the log is trimmed, in any order. Whoever reads what is left
-        // either ends at the version that a reader of everything has, or knows
-        // that it is behind and is not ahead of it.
+        // Random streams with concurrent publishes, repeated appends, delayed restates
+        // and invalid configurations, trimmed at each offset. A reader of the rest
+        // either has the same version as a reader of all records, or is not current
+        // and has no newer version.
         constexpr unsigned seed = 7;
         std::mt19937 random(seed);
         int current = 0;
@@ -215,8 +216,8 @@
     }
 
 private:
-    // Instances with ledgers of their own, each as far as it happened to read,
-    // append what they believe right.
+    // Returns the records that several instances append, each with a ledger that has
+    // read up to a random offset.
     Stream randomStream(std::mt19937& random)
     {
         constexpr std::size_t instances = 4;
--- a/src/config/testing/packing_test.cc
+++ b/src/config/testing/packing_test.cc
@@ -8,15 +8,15 @@
 
 namespace {
 
-    // Tries every place of every piece, without any of the search's shortcuts.
+    // Tries every place of every piece, without the optimizations of the search.
     bool fitsByExhaustiveSearch(std::vector<RackCapacity>& racks, const std::vector<Piece>& pieces, std::size_t index)
     {
         if (index == pieces.size())
             return true;
         const Piece& piece = pieces[index];
         for (RackCapacity& rack : racks) {
-            // Within a rack, any split over its workers counts; for the trial the
-            // pieces within a rack come last and take workers in order.
+            // A piece within a rack may be split over its workers in any way. Such pieces
+            // come last here, so it is enough to fill the workers in order.
             if (piece.within == Adjacency::Worker) {
                 for (std::int64_t& worker : rack) {
                     if (worker < piece.accelerators)
@@ -57,7 +57,7 @@
 public:
     void backtracksWhereBestFitFails()
     {
-        // Best fit puts the 4 beside the 3 of the first worker and is stuck.
+        // Best fit alone fails here, although a packing exists: 6 + 4 on 10 and 4 + 3 on 7.
         SearchBudget budget;
         const std::vector<RackCapacity> racks { { 10 }, { 7 } };
         std::vector<Piece> pieces;
@@ -97,9 +97,9 @@
 
     void countingRejectsWithoutLongSearch()
     {
-        // Few racks can hold the large pieces, and the small ones fit nearly
-        // anywhere: without counting, the search tries every way to place the
-        // small ones before it believes that the large ones do not fit.
+        // Few racks have room for the large pieces, and the small ones fit nearly
+        // anywhere. Without counting, the search tries every placement of the small
+        // pieces before it finds that the large ones do not fit.
         std::vector<RackCapacity> racks(36, RackCapacity(8, 1));
         racks.resize(41, RackCapacity(8, 3));
         std::vector<Piece> pieces(37, Piece { 3, Adjacency::Worker });
@@ -113,10 +113,10 @@
 
     void searchStopsAtBudget()
     {
-        // Three sizes that all leave 1 when divided by 4 take at most 999 of 1000,
-        // and all sizes together are above 20 times that, so they do not fit. The
-        // counts do not show it, and trying all ways takes too long. The answer
-        // must come all the same, and be the same everywhere.
+        // Each size is 1 modulo 4, so three pieces use at most 999 of the 1000 on a
+        // worker. All pieces together exceed 20 times 999, so they do not fit.
+        // Counting does not show this, and an exhaustive search takes too long. The
+        // search must still return, with the same result on every instance.
         const std::vector<RackCapacity> racks(20, RackCapacity { 1000 });
         std::vector<Piece> pieces(60);
         std::int64_t total = 0;
--- a/src/config/testing/parse_test.cc
+++ b/src/config/testing/parse_test.cc
@@ -18,7 +18,7 @@
         return text.str();
     }
 
-    // A small sound text; rows replace one part of it.
+    // A small valid configuration with line numbers; test cases replace one part of it.
     std::string sampleYaml()
     {
         return "format: 1\n" // 1
@@ -62,7 +62,7 @@
         std::string to;
         int line;
         std::string path;
-        std::string messagePart; // Of the message.
+        std::string messagePart; // A substring of the expected message.
     };
 
 } // namespace
@@ -162,7 +162,7 @@
         text += "    colour: red\n    requests_per_second: 0\n";
         const Faults faults = parse(text).faults;
         CPPUNIT_ASSERT_EQUAL_MESSAGE(describeAll(faults), std::size_t { 3 }, faults.size());
-        // Guarantees that do not fit are named beside a wrong flag elsewhere.
+        // Guarantees that do not fit are reported together with an invalid flag elsewhere.
         std::string crowded = sampleWith("count: 2", "count: 5");
         crowded.replace(crowded.find("idempotent: false"), 17, "idempotent: maybe");
         const Faults both = parse(crowded).faults;
@@ -175,8 +175,9 @@
 
     void rejectsMalformedYaml()
     {
-        // yaml-cpp ends a text at a NUL or EOT byte: the rest would silently go
-        // missing, and an operator would find half of the workspaces gone.
+        // yaml-cpp ends its input at a NUL or EOT byte. If such bytes were accepted, the
+        // rest of the configuration, for example half of its workspaces, would be dropped
+        // without a fault.
         const std::vector<std::string> texts { "", "\n", "---\n", "just words", "[]", std::string("format: 1\0name: x", 17),
             "format: 1\x04", "name: \xff\xfe", "\xef\xbb\xbf", "{", "a: b: c", "? [a]: b", "\t", "%YAML 9.9\n---\n", "%TAG", "'", "\"\\x\"",
             sampleYaml() + "---\nformat: 1\n", "- - - -", ": : :", "? ? ?", "{? : }", "[?, ?]", "&", "*", "!<", "|99", ">-\n" };
@@ -188,8 +189,8 @@
 
     void rejectsDeepNesting()
     {
-        // One level of nesting costs the parser a level of stack; a text of a
-        // few kilobytes could end the process of every instance that reads it.
+        // The parser recurses once per level of nesting. Without a limit, a text of a few
+        // kilobytes could overflow the stack of every instance that reads it.
         constexpr int levels = 200000;
         for (const std::string unit : { "[", "{a: ", "- ", "? ", "{? ", "[a: " }) {
             std::string text;
--- a/src/config/units.h
+++ b/src/config/units.h
@@ -1,12 +1,13 @@
 #pragma once
 
-// Amounts with a unit, as operators write them.
+// Parsers of numbers and of amounts with a unit.
 //
 // Durations: a whole number and ms, s, m or h, like "500ms" or "10m".
 // Memory: a whole number and MB, GB, TB (powers of 1000) or MiB, GiB, TiB
-// (powers of 1024), like "64GiB" or "512 MB"; held in whole MiB, rounded down.
-// One space may stand before the unit. Empty when the text is neither, or when
-// the amount does not fit.
+// (powers of 1024), like "64GiB" or "512 MB"; returned in MiB, rounded down.
+//
+// One space is allowed before the unit. The result is empty if the text is
+// malformed or the amount overflows.
 
 #include "base/clock.h"
 
--- a/src/config/yaml_tree.cc
+++ b/src/config/yaml_tree.cc
@@ -1,6 +1,6 @@
-// yaml-cpp descends one level of the stack for each level of the document, and
-// tells its handler of a list or map before it descends. The handler refuses by
-// throwing, so the stack stays as deep as maxDepth, whatever the text.
+// yaml-cpp recurses once for each level of the document, and calls its handler for
+// a list or map before it recurses. The handler rejects a level by throwing, which
+// limits the recursion to maxDepth for any input.
 
 #include "config/yaml_tree.h"
 
@@ -87,7 +87,7 @@
             return this->tree.nodes.size() - 1;
         }
 
-        // Hangs a finished or opened node under the innermost open one.
+        // Adds a complete or newly opened node to the innermost open list or map.
         void attach(NodeId id, const YAML::Mark& mark)
         {
             if (this->openLevels.empty()) {
@@ -102,7 +102,7 @@
                 parent.items.push_back(id);
                 return;
             }
-            // yaml-cpp gives an empty value the place of whatever follows it.
+            // yaml-cpp reports an empty value at the position of the token that follows it.
             if (this->tree.nodes[id].kind == YamlNode::Kind::Empty)
                 this->tree.nodes[id].at = positionOf(level.keyMark);
             parent.entries.push_back({ std::move(*level.key), positionOf(level.keyMark), id });
@@ -126,7 +126,7 @@
                 throw YAML::ParserException(mark, "anchors are not taken; write the value out");
         }
 
-        // "?" marks a plain value and "!" a quoted one.
+        // yaml-cpp reports "?" for a plain scalar and "!" for a quoted one.
         static void rejectTag(const YAML::Mark& mark, const std::string& tag)
         {
             if (!tag.empty() && tag != "?" && tag != "!")
@@ -146,9 +146,9 @@
         }
     }
 
-    // yaml-cpp takes a NUL or an EOT byte for the end of the text, and would
-    // accept the part before it as if the rest had never been written. Bytes
-    // that are no UTF-8 could not be carried in the log's JSON.
+    // yaml-cpp treats a NUL or EOT byte as the end of the input, and would accept the
+    // part before it and silently drop the rest. Bytes that are not UTF-8 could not be
+    // stored in the log, whose records are JSON.
     bool hasOnlyTextBytes(const std::string& text, Faults& faults)
     {
         std::istringstream lines(text);
--- a/src/config/yaml_tree.h
+++ b/src/config/yaml_tree.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// A YAML document as plain nodes that remember where they stand.
+// A YAML document as a tree of plain nodes with their positions in the text.
 //
 //     Faults faults;
 //     if (const auto tree = readYaml(text, faults))
 //         const YamlNode& root = tree->node(tree->root);
 //
-// The tree is built from yaml-cpp's parse events and not from YAML::Node,
-// because events can be refused one by one: a document that nests or grows too
-// far is given up before it costs memory or stack.
+// The tree is built from yaml-cpp's parse events instead of YAML::Node, because an
+// event handler can reject single events: parsing of a document that is too deep
+// or too large stops before it uses much memory or stack.
 
 #include "config/fault.h"
 
@@ -39,7 +39,7 @@
     Position at;
     std::string scalar;
     std::vector<NodeId> items;
-    std::vector<YamlEntry> entries; // In the order of the text; keys may repeat.
+    std::vector<YamlEntry> entries; // In document order; may contain duplicate keys.
 };
 
 struct YamlTree {
@@ -52,7 +52,7 @@
 inline constexpr std::size_t maxDepth = 16;
 inline constexpr std::size_t maxNodes = 100000;
 
-// Empty, with one fault more, when the text is not one bounded YAML document.
+// Returns the tree, or adds a fault and returns empty if the text is not exactly one YAML document within the limits.
 std::optional<YamlTree> readYaml(const std::string& text, Faults&);
 
 } // namespace rattan::config
