--- a/src/config/ledger.h
+++ b/src/config/ledger.h
@@ -69,7 +69,7 @@
 
 enum class OutcomeKind {
     Accepted,
-    Lost, // Another publish of the same version came first.
+    Lost, // The publish amends a version that is not current: another publish came first.
     Ignored, // Invalid, out of order, without effect, or a repeat of an accepted publication.
     Undecided, // The version at the reader's offset is not known.
 };
