--- a/src/entry/api_jobs.cc
+++ b/src/entry/api_jobs.cc
@@ -36,7 +36,7 @@
 
     Result<void> checkKey(const std::string& key)
     {
-        if (key.empty() || key.size() > records::longestJobKey || !isPlainName(key))
+        if (key.empty() || key.size() > records::maxJobKeyLength || !isPlainName(key))
             return fail(ErrorCode::BadInput, std::string(step), "", "the key of a job is expected");
         return {};
     }
@@ -54,7 +54,7 @@
     record.kind = records::JobRecordKind::Submit;
     record.workspace = caller.name;
     record.key = order.key.empty() ? mintKey(this->parts.clock.wall()) : order.key;
-    record.atWall = this->parts.clock.wall();
+    record.submitWallTime = this->parts.clock.wall();
     record.spec = order.spec;
     BOOST_LEAF_CHECK(this->appendJobRecord(record));
     return http::jsonAnswer(accepted, { { "key", record.key }, { "state", "queued" } });
--- a/src/entry/job_order.cc
+++ b/src/entry/job_order.cc
@@ -13,7 +13,7 @@
 
     std::int64_t fitting(std::int64_t have, std::int64_t each)
     {
-        return each > 0 ? have / each : records::mostMembers;
+        return each > 0 ? have / each : records::maxMembers;
     }
 
     // Members that fit on one empty worker of the pool.
@@ -60,15 +60,15 @@
     JobOrder order;
     JsonReader reader(json, std::string(step), peer);
     reader.allowUnknown();
-    order.key = reader.textOr("key", "", records::longestJobKey);
+    order.key = reader.textOr("key", "", records::maxJobKeyLength);
     if (!isPlainName(order.key))
         reader.fault("key may hold letters, digits and . _ : @ + - only");
     if (auto error = reader.error())
         return fail(std::move(*error));
     const Json none;
     const Json& members = reader.anyOr("members", none);
-    if (members.is_number_unsigned() && members.get<std::uint64_t>() > static_cast<std::uint64_t>(records::mostMembers))
-        return refuse(fmt::format("a gang has at most {} members", records::mostMembers));
+    if (members.is_number_unsigned() && members.get<std::uint64_t>() > static_cast<std::uint64_t>(records::maxMembers))
+        return refuse(fmt::format("a gang has at most {} members", records::maxMembers));
     json.erase("key");
     BOOST_LEAF_ASSIGN(order.spec, records::parseJobSpec(json));
     return order;
--- a/src/planner/domain_planner.cc
+++ b/src/planner/domain_planner.cc
@@ -185,7 +185,7 @@
     submitted.members = job.spec.members;
     submitted.perMember = { job.spec.accelerators, job.spec.cores, job.spec.memoryMb };
     submitted.adjacency = adjacencyOf(job.spec.adjacent);
-    submitted.declaredRunTime = job.spec.declaredRun;
+    submitted.declaredRunTime = job.spec.declaredRunTime;
     if (const config::JobClass* jobClass = this->classOf(job.spec.jobClass)) {
         submitted.urgency = static_cast<decide::Urgency>(jobClass->urgency);
         submitted.idempotent = jobClass->idempotent;
@@ -310,7 +310,7 @@
 void DomainPlanner::restate(const Job& job)
 {
     JobRecord record { .kind = JobRecordKind::Restate, .id = job.id, .workspace = job.workspace, .key = job.key };
-    record.atWall = job.submittedWall;
+    record.submitWallTime = job.submittedWall;
     record.spec = job.spec;
     record.attempt = job.startingAttempt;
     record.failures = job.failures;
--- a/src/planner/job_book.cc
+++ b/src/planner/job_book.cc
@@ -63,7 +63,7 @@
     job.workspace = record.workspace;
     job.key = record.key;
     job.spec = record.spec;
-    job.submittedWall = record.atWall;
+    job.submittedWall = record.submitWallTime;
     job.lastRecord = offset;
     job.lastRecordWall = atWall;
     job.startingAttempt = record.attempt;
@@ -200,7 +200,7 @@
         record.workspace = job.workspace;
         record.key = job.key;
         record.kind = job.ended ? JobRecordKind::Final : JobRecordKind::Restate;
-        record.atWall = job.submittedWall;
+        record.submitWallTime = job.submittedWall;
         record.spec = job.spec;
         record.attempt = job.startingAttempt;
         record.failures = job.failures;
--- a/src/records/job_record.cc
+++ b/src/records/job_record.cc
@@ -11,11 +11,11 @@
     constexpr std::array<std::string_view, 5> kindNames { "submit", "cancel", "starting", "final", "restate" };
     constexpr std::array<std::string_view, 5> outcomeNames { "done", "failed", "cancelled", "refused", "unknown" };
     constexpr std::array<std::string_view, 3> adjacencyNames { "worker", "rack", "domain" };
-    constexpr std::size_t longestName = 200;
-    constexpr std::size_t longestText = 1 << 16;
-    constexpr std::int64_t mostCores = 4096;
-    constexpr std::int64_t mostMemoryMb = 1 << 24;
-    constexpr Millis longestRun = Millis { 1000 } * 60 * 60 * 24 * 365;
+    constexpr std::size_t maxNameLength = 200;
+    constexpr std::size_t maxTextLength = 1 << 16;
+    constexpr std::int64_t maxCores = 4096;
+    constexpr std::int64_t maxMemoryMb = 1 << 24;
+    constexpr Millis maxRunTime = Millis { 1000 } * 60 * 60 * 24 * 365;
 
     template <std::size_t count>
     std::size_t indexOf(const std::array<std::string_view, count>& names, const std::string& name, JsonReader& reader)
@@ -26,11 +26,11 @@
         return index.value_or(0);
     }
 
-    bool carriesSpec(JobRecordKind kind) { return kind == JobRecordKind::Submit || kind == JobRecordKind::Restate; }
+    bool hasSpec(JobRecordKind kind) { return kind == JobRecordKind::Submit || kind == JobRecordKind::Restate; }
 
-    bool carriesId(JobRecordKind kind) { return kind != JobRecordKind::Submit && kind != JobRecordKind::Cancel; }
+    bool hasId(JobRecordKind kind) { return kind != JobRecordKind::Submit && kind != JobRecordKind::Cancel; }
 
-    bool carriesKey(JobRecordKind kind) { return kind != JobRecordKind::Starting; }
+    bool hasKey(JobRecordKind kind) { return kind != JobRecordKind::Starting; }
 
 } // namespace
 
@@ -44,20 +44,20 @@
 {
     return { { "class", spec.jobClass }, { "members", spec.members }, { "accelerators", spec.accelerators },
         { "cores", spec.cores }, { "memory_mb", spec.memoryMb }, { "adjacent", spec.adjacent },
-        { "run_ms", spec.declaredRun }, { "payload", spec.payload } };
+        { "run_ms", spec.declaredRunTime }, { "payload", spec.payload } };
 }
 
 Json toJson(const JobRecord& record)
 {
     Json json { { "kind", nameOf(record.kind) } };
-    if (carriesId(record.kind))
+    if (hasId(record.kind))
         json["id"] = record.id;
-    if (carriesKey(record.kind)) {
+    if (hasKey(record.kind)) {
         json["workspace"] = record.workspace;
         json["key"] = record.key;
     }
-    if (carriesSpec(record.kind)) {
-        json["at_ms"] = record.atWall;
+    if (hasSpec(record.kind)) {
+        json["at_ms"] = record.submitWallTime;
         json["spec"] = toJson(record.spec);
     }
     if (record.kind == JobRecordKind::Starting || record.kind == JobRecordKind::Restate) {
@@ -78,14 +78,14 @@
 {
     JsonReader reader(json, "job.spec");
     JobSpec spec;
-    spec.jobClass = reader.text("class", 1, longestName);
-    spec.members = reader.numberOr("members", spec.members, 1, mostMembers);
-    spec.accelerators = reader.numberOr("accelerators", spec.accelerators, 0, mostAcceleratorsPerMember);
-    spec.cores = reader.numberOr("cores", spec.cores, 0, mostCores);
-    spec.memoryMb = reader.numberOr("memory_mb", spec.memoryMb, 0, mostMemoryMb);
-    spec.adjacent = reader.textOr("adjacent", spec.adjacent, longestName);
+    spec.jobClass = reader.text("class", 1, maxNameLength);
+    spec.members = reader.numberOr("members", spec.members, 1, maxMembers);
+    spec.accelerators = reader.numberOr("accelerators", spec.accelerators, 0, maxAcceleratorsPerMember);
+    spec.cores = reader.numberOr("cores", spec.cores, 0, maxCores);
+    spec.memoryMb = reader.numberOr("memory_mb", spec.memoryMb, 0, maxMemoryMb);
+    spec.adjacent = reader.textOr("adjacent", spec.adjacent, maxNameLength);
     indexOf(adjacencyNames, spec.adjacent, reader);
-    spec.declaredRun = reader.numberOr("run_ms", spec.declaredRun, 1, longestRun);
+    spec.declaredRunTime = reader.numberOr("run_ms", spec.declaredRunTime, 1, maxRunTime);
     spec.payload = reader.anyOr("payload", Json::object());
     return reader.finish(std::move(spec));
 }
@@ -94,23 +94,23 @@
 {
     JsonReader reader(json, "job.record");
     JobRecord record;
-    record.kind = static_cast<JobRecordKind>(indexOf(kindNames, reader.text("kind", 1, longestName), reader));
-    constexpr std::int64_t highest = std::numeric_limits<std::int64_t>::max();
-    if (carriesId(record.kind))
-        record.id = static_cast<std::uint64_t>(reader.number("id", 0, highest));
-    if (carriesKey(record.kind)) {
-        record.workspace = reader.text("workspace", 1, longestName);
-        record.key = reader.text("key", 1, longestJobKey);
+    record.kind = static_cast<JobRecordKind>(indexOf(kindNames, reader.text("kind", 1, maxNameLength), reader));
+    constexpr std::int64_t maxNumber = std::numeric_limits<std::int64_t>::max();
+    if (hasId(record.kind))
+        record.id = static_cast<std::uint64_t>(reader.number("id", 0, maxNumber));
+    if (hasKey(record.kind)) {
+        record.workspace = reader.text("workspace", 1, maxNameLength);
+        record.key = reader.text("key", 1, maxJobKeyLength);
     }
-    record.atWall = reader.numberOr("at_ms", 0, 0, highest);
-    record.attempt = reader.numberOr("attempt", 0, 0, highest);
-    record.failures = reader.numberOr("failures", 0, 0, highest);
-    record.claimant = reader.textOr("claimant", "", longestName);
+    record.submitWallTime = reader.numberOr("at_ms", 0, 0, maxNumber);
+    record.attempt = reader.numberOr("attempt", 0, 0, maxNumber);
+    record.failures = reader.numberOr("failures", 0, 0, maxNumber);
+    record.claimant = reader.textOr("claimant", "", maxNameLength);
     if (record.kind == JobRecordKind::Final)
-        record.outcome = static_cast<JobOutcome>(indexOf(outcomeNames, reader.text("outcome", 1, longestName), reader));
-    record.reason = reader.textOr("reason", "", longestText);
-    record.result = reader.textOr("result", "", longestText);
-    if (carriesSpec(record.kind)) {
+        record.outcome = static_cast<JobOutcome>(indexOf(outcomeNames, reader.text("outcome", 1, maxNameLength), reader));
+    record.reason = reader.textOr("reason", "", maxTextLength);
+    record.result = reader.textOr("result", "", maxTextLength);
+    if (hasSpec(record.kind)) {
         BOOST_LEAF_AUTO(spec, parseJobSpec(reader.anyOr("spec", Json())));
         record.spec = std::move(spec);
     }
--- a/src/records/job_record.h
+++ b/src/records/job_record.h
@@ -44,7 +44,7 @@
     std::int64_t cores { 1 };
     std::int64_t memoryMb { 1024 };
     std::string adjacent { "domain" }; // worker, rack or domain.
-    Millis declaredRun { 60000 };
+    Millis declaredRunTime { 60000 };
     Json payload;
 };
 
@@ -53,7 +53,7 @@
     std::uint64_t id { 0 }; // Starting, Final, Restate.
     std::string workspace;
     std::string key;
-    Millis atWall { 0 }; // Submit, Restate: when the caller submitted.
+    Millis submitWallTime { 0 }; // Submit, Restate: when the caller submitted.
     JobSpec spec; // Submit, Restate.
     std::int64_t attempt { 0 }; // Starting, Restate.
     std::int64_t failures { 0 }; // Starting, Restate: attempts before that failed.
@@ -63,9 +63,9 @@
     std::string result; // Final.
 };
 
-inline constexpr std::size_t longestJobKey = 128;
-inline constexpr std::int64_t mostMembers = 512;
-inline constexpr std::int64_t mostAcceleratorsPerMember = 64;
+inline constexpr std::size_t maxJobKeyLength = 128;
+inline constexpr std::int64_t maxMembers = 512;
+inline constexpr std::int64_t maxAcceleratorsPerMember = 64;
 
 // Ids start at 1: a 0 in a message means that no job is meant.
 inline std::uint64_t jobIdAt(std::uint64_t submitOffset) { return submitOffset + 1; }
--- a/src/records/testing/job_record_test.cc
+++ b/src/records/testing/job_record_test.cc
@@ -6,16 +6,16 @@
 
 class JobRecordTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(JobRecordTest);
-    CPPUNIT_TEST(everyKindSurvivesTheRoundTrip);
-    CPPUNIT_TEST(strangeRecordsAreRefused);
+    CPPUNIT_TEST(everyKindRoundTrips);
+    CPPUNIT_TEST(invalidRecordsAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void everyKindSurvivesTheRoundTrip()
+    void everyKindRoundTrips()
     {
         for (const JobRecordKind kind : { JobRecordKind::Submit, JobRecordKind::Cancel, JobRecordKind::Starting,
                  JobRecordKind::Final, JobRecordKind::Restate }) {
-            JobRecord record { .kind = kind, .id = 41, .workspace = "tours", .key = "k", .atWall = 5, .attempt = 2, .claimant = "p1", .outcome = JobOutcome::Failed, .reason = "why", .result = "what" };
+            JobRecord record { .kind = kind, .id = 41, .workspace = "tours", .key = "k", .submitWallTime = 5, .attempt = 2, .claimant = "p1", .outcome = JobOutcome::Failed, .reason = "why", .result = "what" };
             record.spec.jobClass = "route-map";
             record.spec.payload = { { "run_ms", 5 } };
             const Json json = toJson(record);
@@ -25,9 +25,9 @@
         }
     }
 
-    void strangeRecordsAreRefused()
+    void invalidRecordsAreRejected()
     {
-        const std::vector<std::string> strange {
+        const std::vector<std::string> invalidRecords {
             R"([])", R"({})", R"({"kind":"other"})", R"({"kind":"cancel","workspace":"w"})",
             R"({"kind":"submit","workspace":"w","key":"k"})",
             R"({"kind":"submit","workspace":"w","key":"k","spec":{"class":"c","members":-1}})",
@@ -37,7 +37,7 @@
             R"({"kind":"final","id":1,"workspace":"w","key":"k","outcome":"maybe"})",
             R"({"kind":"starting","id":-1})"
         };
-        for (const std::string& text : strange)
+        for (const std::string& text : invalidRecords)
             CPPUNIT_ASSERT_MESSAGE(text, !attempt([&] { return parseJobRecord(Json::parse(text)); }));
     }
 };
