--- a/src/ctl/entry_client.cc
+++ b/src/ctl/entry_client.cc
@@ -85,10 +85,10 @@
         call.headers.emplace_back("Authorization", "Bearer " + this->token);
     call.headers.emplace_back("Content-Type", "application/json");
     call.timeout = this->timeout;
-    call.resend = true;
+    call.canResend = true;
     const http::Reply raw = this->client.send(call);
     EntryReply reply;
-    reply.mayHaveActed = raw.sent == http::Sent::Perhaps || raw.isRepeat();
+    reply.mayHaveActed = raw.sendOutcome == http::SendOutcome::PossiblySent || raw.wasResent();
     if (raw.error) {
         reply.error = *raw.error;
         return reply;
--- a/src/ctl/testing/text_commands_test.cc
+++ b/src/ctl/testing/text_commands_test.cc
@@ -100,7 +100,7 @@
         const std::string yaml = readFile(fileOf("kitami.yaml"));
         second.expect("POST /v1/config", 409, { { "error", { { "code", "conflict" }, { "message", "lost" } } }, { "winner", { { "version", 8 }, { "author", "anna" } } } });
         second.expect("GET /v1/config", 200, { { "version", 8 }, { "text", yaml }, { "author", "anna" } });
-        http::Server dying({ .address = "127.0.0.1:0", .bodyLimit = 1 << 20 });
+        http::Server dying({ .address = "127.0.0.1:0", .maxBodyBytes = 1 << 20 });
         // An answer over the client's limit stands for one that breaks off.
         dying.route("POST", "/v1/config", [](const http::Request&) { return http::Answer { 200, std::string(5 << 20, 'x'), "text/plain", {} }; });
         CPPUNIT_ASSERT(!attemptVoid([&] { return dying.start(); }));
--- a/src/delivery/direct_channel.cc
+++ b/src/delivery/direct_channel.cc
@@ -24,7 +24,7 @@
 {
 }
 
-DirectChannel::~DirectChannel() { this->client.abandon(this->group); }
+DirectChannel::~DirectChannel() { this->client.cancelGroup(this->group); }
 
 void DirectChannel::send(const WorkerCall& call, Handler handler)
 {
@@ -46,7 +46,7 @@
     sent.timeout = orderTimeout;
     sent.connectTimeout = orderTimeout;
     sent.purpose = start ? "start" : "stop";
-    const http::CallGroup scope(this->client, this->group);
+    const http::ScopedCallGroup scope(this->client, this->group);
     this->client.send(std::move(sent), [this, isStart = start != nullptr, worker, handler](const http::Reply& reply) {
         if (isStart)
             handler({ .reply = this->protocol.parseStart(reply), .status = reply.status });
@@ -63,7 +63,7 @@
     sent.timeout = std::chrono::milliseconds(order.wait) + pollTimeout;
     sent.connectTimeout = pollConnectTimeout;
     sent.purpose = "poll";
-    const http::CallGroup scope(this->client, this->group);
+    const http::ScopedCallGroup scope(this->client, this->group);
     this->client.send(std::move(sent), [this, handler](const http::Reply& reply) {
         handler({ .reply = this->protocol.parsePoll(reply), .status = reply.status });
     });
--- a/src/entry/program.cc
+++ b/src/entry/program.cc
@@ -53,7 +53,7 @@
     , tickets(this->incarnation, ticketLimits(given), this->clock)
     , requests(this->config, this->forwarder, this->claims, this->tickets, this->otherTickets, this->metrics, this->clock, { given.deadlineLimitMs })
     , rpcServer(given.rpcListen, [this] { return kj::heap<RpcService>(this->requests, this->ticketWorkers, this->state); })
-    , server({ .address = given.listen, .bodyLimit = given.bodyLimit, .connectionLimit = given.connectionLimit })
+    , server({ .address = given.listen, .maxBodyBytes = given.bodyLimit, .maxConnections = given.connectionLimit })
     , api({ given.instance, given.domain, given.operatorTokenSha256, this->config, this->planner, this->publisher, this->jobs,
           this->requests, this->tickets, this->gate, this->claims, this->state, this->metrics, this->clock })
     , spans(given.otlp, "rattan-entry", given.instance)
--- a/src/entry/span_exporter.cc
+++ b/src/entry/span_exporter.cc
@@ -85,7 +85,7 @@
     call.body = detail::otlpBody(spans, this->service, this->instance);
     call.headers = { { "content-type", "application/json" } };
     call.timeout = sendTimeout;
-    call.resend = true;
+    call.canResend = true;
     const http::Reply reply = this->client.send(call);
     if (reply.ok())
         return;
--- a/src/http/answer.cc
+++ b/src/http/answer.cc
@@ -6,17 +6,17 @@
 
 namespace {
 
-    std::string find(const std::map<std::string, std::string>& map, const std::string& name)
+    std::string valueOrEmpty(const std::map<std::string, std::string>& map, const std::string& name)
     {
-        const auto found = map.find(name);
-        return found == map.end() ? std::string() : found->second;
+        const auto entry = map.find(name);
+        return entry == map.end() ? std::string() : entry->second;
     }
 
 } // namespace
 
-std::string Request::header(const std::string& lowerCaseName) const { return find(this->headers, lowerCaseName); }
+std::string Request::header(const std::string& lowerCaseName) const { return valueOrEmpty(this->headers, lowerCaseName); }
 
-std::string Request::parameter(const std::string& name) const { return find(this->parameters, name); }
+std::string Request::parameter(const std::string& name) const { return valueOrEmpty(this->parameters, name); }
 
 Answer jsonAnswer(int status, const Json& json)
 {
--- a/src/http/async_client.cc
+++ b/src/http/async_client.cc
@@ -29,40 +29,40 @@
 
     using SteadyClock = std::chrono::steady_clock;
 
-    constexpr std::size_t idleHandles = 64; // Kept for reuse; about 6 KB each.
+    constexpr std::size_t maxIdleHandles = 64; // Kept for reuse; about 6 KB each.
     constexpr long receiveBufferBytes = 8192; // libcurl's default of 16 KB is more than most answers need.
 
     // Sockets handled before the caller has its turn again: about 4 ms of answers, so
     // that a thousand that arrive at once do not hold up what the caller must do.
-    constexpr std::size_t eventsAtOnce = 64;
+    constexpr std::size_t maxEventsPerPass = 64;
 
     // libcurl's own limits, beyond any of ours.
-    constexpr long noLimitMillis = 24L * 3600 * 1000;
+    constexpr long noTimeoutMillis = 24L * 3600 * 1000;
 
     // Calls past their limit end although every pass for so long has left ready sockets
     // to the next one: else nothing would end while this thread cannot keep up with
     // what arrives.
-    constexpr Millis longestBehind = 500;
+    constexpr Millis maxExpiryDelay = 500;
 
-    struct Pending {
+    struct PendingCall {
         detail::Transfer transfer;
         AsyncClient::Handler handler;
         int group { 0 };
-        Millis connectBy { 0 }; // Some of the request has to be sent by then,
-        Millis answerBy { 0 }; // and all of the answer read by then.
-        Millis listedAt { 0 }; // Its place in the list of limits.
-        std::uint64_t bytesSeen { 0 }; // Received when its limit was last put off.
+        Millis sendDeadline { 0 }; // Some of the request has to be sent by then,
+        Millis answerDeadline { 0 }; // and all of the answer read by then.
+        Millis listedDeadline { 0 }; // Its place in the list of limits.
+        std::uint64_t bytesAtExtension { 0 }; // Received when its limit was last put off.
 
         // The next of the two that can end this call.
-        Millis limit() const { return this->transfer.wroteBytes ? this->answerBy : std::min(this->connectBy, this->answerBy); }
+        Millis deadline() const { return this->transfer.hasSentBytes ? this->answerDeadline : std::min(this->sendDeadline, this->answerDeadline); }
 
         // Puts the limit off where bytes have come since that was last done.
-        void putOff(Millis now)
+        void extendDeadline(Millis now)
         {
-            if (!this->transfer.call.timeoutWhileSilent || this->transfer.bytesReceived == this->bytesSeen)
+            if (!this->transfer.call.restartTimeoutOnData || this->transfer.bytesReceived == this->bytesAtExtension)
                 return;
-            this->bytesSeen = this->transfer.bytesReceived;
-            this->answerBy = now + this->transfer.call.timeout.count();
+            this->bytesAtExtension = this->transfer.bytesReceived;
+            this->answerDeadline = now + this->transfer.call.timeout.count();
         }
     };
 
@@ -76,28 +76,28 @@
 
     const Clock& clock;
     CURLM* multi { nullptr };
-    int poller { -1 };
-    int waker { -1 };
-    bool timerSet { false };
-    SteadyClock::time_point timerAt; // When libcurl wants to be called although no socket is ready.
-    std::unordered_map<CURL*, std::unique_ptr<Pending>> pending;
-    std::set<std::pair<Millis, CURL*>> limits; // When to look at each pending call; may be before its present limit.
-    std::vector<CURL*> idle;
+    int epollDescriptor { -1 };
+    int wakeDescriptor { -1 };
+    bool isTimerSet { false };
+    SteadyClock::time_point timerDeadline; // When libcurl wants to be called although no socket is ready.
+    std::unordered_map<CURL*, std::unique_ptr<PendingCall>> pendingCalls;
+    std::set<std::pair<Millis, CURL*>> deadlines; // When to look at each pending call; may be before its present limit.
+    std::vector<CURL*> idleHandles;
     std::map<std::string_view, Traffic> traffic;
-    std::optional<Millis> behindSince; // Since when no pass has read all that was ready.
+    std::optional<Millis> backlogSince; // Since when no pass has read all that was ready.
 
-    static int onSocket(CURL*, curl_socket_t socket, int what, void* user, void* known)
+    static int onSocket(CURL*, curl_socket_t socket, int socketEvents, void* user, void* socketData)
     {
         auto* native = static_cast<Native*>(user);
-        if (what == CURL_POLL_REMOVE) {
-            epoll_ctl(native->poller, EPOLL_CTL_DEL, socket, nullptr);
+        if (socketEvents == CURL_POLL_REMOVE) {
+            epoll_ctl(native->epollDescriptor, EPOLL_CTL_DEL, socket, nullptr);
             return 0;
         }
         epoll_event event {};
         event.data.fd = socket;
-        event.events = ((what & CURL_POLL_IN) != 0 ? EPOLLIN : 0U) | ((what & CURL_POLL_OUT) != 0 ? EPOLLOUT : 0U);
-        if (epoll_ctl(native->poller, known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, socket, &event) != 0)
-            epoll_ctl(native->poller, known ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, socket, &event); // libcurl closed and reopened it meanwhile.
+        event.events = ((socketEvents & CURL_POLL_IN) != 0 ? EPOLLIN : 0U) | ((socketEvents & CURL_POLL_OUT) != 0 ? EPOLLOUT : 0U);
+        if (epoll_ctl(native->epollDescriptor, socketData ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, socket, &event) != 0)
+            epoll_ctl(native->epollDescriptor, socketData ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, socket, &event); // libcurl closed and reopened it meanwhile.
         curl_multi_assign(native->multi, socket, native);
         return 0;
     }
@@ -105,230 +105,230 @@
     static int onTimer(CURLM*, long millis, void* user)
     {
         auto* native = static_cast<Native*>(user);
-        native->timerSet = millis >= 0;
-        native->timerAt = SteadyClock::now() + std::chrono::milliseconds(std::max(millis, 0L));
+        native->isTimerSet = millis >= 0;
+        native->timerDeadline = SteadyClock::now() + std::chrono::milliseconds(std::max(millis, 0L));
         return 0;
     }
 
-    CURL* take()
+    CURL* acquireHandle()
     {
-        if (this->idle.empty())
+        if (this->idleHandles.empty())
             return curl_easy_init();
-        CURL* handle = this->idle.back();
-        this->idle.pop_back();
+        CURL* handle = this->idleHandles.back();
+        this->idleHandles.pop_back();
         return handle;
     }
 
-    void give(CURL* handle)
+    void releaseHandle(CURL* handle)
     {
-        if (this->idle.size() < idleHandles)
-            this->idle.push_back(handle);
+        if (this->idleHandles.size() < maxIdleHandles)
+            this->idleHandles.push_back(handle);
         else
             curl_easy_cleanup(handle);
     }
 
-    void drop(CURL* handle)
+    void cancel(CURL* handle)
     {
         curl_multi_remove_handle(this->multi, handle);
-        const auto found = this->pending.find(handle);
-        this->account(handle, found->second->transfer);
+        const auto found = this->pendingCalls.find(handle);
+        this->addTraffic(handle, found->second->transfer);
         curl_slist_free_all(found->second->transfer.headers);
-        this->limits.erase({ found->second->listedAt, handle });
-        this->pending.erase(found);
+        this->deadlines.erase({ found->second->listedDeadline, handle });
+        this->pendingCalls.erase(found);
         curl_easy_cleanup(handle);
     }
 
-    void account(CURL* handle, const detail::Transfer& transfer)
+    void addTraffic(CURL* handle, const detail::Transfer& transfer)
     {
-        long opened = 0;
-        curl_easy_getinfo(handle, CURLINFO_NUM_CONNECTS, &opened);
-        Traffic& sum = this->traffic[transfer.call.purpose];
-        ++sum.calls;
-        sum.connections += static_cast<std::uint64_t>(opened);
-        sum.bytesSent += transfer.bytesSent;
-        sum.bytesReceived += transfer.bytesReceived;
+        long newConnections = 0;
+        curl_easy_getinfo(handle, CURLINFO_NUM_CONNECTS, &newConnections);
+        Traffic& purposeTraffic = this->traffic[transfer.call.purpose];
+        ++purposeTraffic.calls;
+        purposeTraffic.connections += static_cast<std::uint64_t>(newConnections);
+        purposeTraffic.bytesSent += transfer.bytesSent;
+        purposeTraffic.bytesReceived += transfer.bytesReceived;
     }
 
-    void runTimer()
+    void handleTimer()
     {
-        if (!this->timerSet || SteadyClock::now() < this->timerAt)
+        if (!this->isTimerSet || SteadyClock::now() < this->timerDeadline)
             return;
-        this->timerSet = false;
+        this->isTimerSet = false;
         int running = 0;
         curl_multi_socket_action(this->multi, CURL_SOCKET_TIMEOUT, 0, &running);
     }
 
-    std::chrono::milliseconds untilTimer(std::chrono::milliseconds longest) const
+    std::chrono::milliseconds maxPollTime(std::chrono::milliseconds maxWait) const
     {
-        auto left = longest;
-        if (this->timerSet)
-            left = std::min(left, std::chrono::ceil<std::chrono::milliseconds>(this->timerAt - SteadyClock::now()));
-        if (!this->limits.empty())
-            left = std::min(left, std::chrono::milliseconds(this->limits.begin()->first - this->clock.now()));
-        return std::max(left, std::chrono::milliseconds(0));
+        auto remaining = maxWait;
+        if (this->isTimerSet)
+            remaining = std::min(remaining, std::chrono::ceil<std::chrono::milliseconds>(this->timerDeadline - SteadyClock::now()));
+        if (!this->deadlines.empty())
+            remaining = std::min(remaining, std::chrono::milliseconds(this->deadlines.begin()->first - this->clock.now()));
+        return std::max(remaining, std::chrono::milliseconds(0));
     }
 
     // Waits for sockets, and lets libcurl work on those that are ready. True if it worked
     // on all of them.
-    bool runSockets(std::chrono::milliseconds longest)
+    bool handleSockets(std::chrono::milliseconds maxWait)
     {
-        std::array<epoll_event, eventsAtOnce> events {};
-        const int ready = epoll_wait(this->poller, events.data(), static_cast<int>(events.size()), static_cast<int>(longest.count()));
-        for (int i = 0; i < ready; ++i) {
+        std::array<epoll_event, maxEventsPerPass> events {};
+        const int readyCount = epoll_wait(this->epollDescriptor, events.data(), static_cast<int>(events.size()), static_cast<int>(maxWait.count()));
+        for (int i = 0; i < readyCount; ++i) {
             const epoll_event& event = events[static_cast<std::size_t>(i)];
-            if (event.data.fd == this->waker) {
+            if (event.data.fd == this->wakeDescriptor) {
                 std::uint64_t count = 0;
-                static_cast<void>(read(this->waker, &count, sizeof(count))); // Only to make it wait again.
+                static_cast<void>(read(this->wakeDescriptor, &count, sizeof(count))); // Only to make it wait again.
                 continue;
             }
-            int what = 0;
+            int socketEvents = 0;
             if ((event.events & EPOLLIN) != 0)
-                what |= CURL_CSELECT_IN;
+                socketEvents |= CURL_CSELECT_IN;
             if ((event.events & EPOLLOUT) != 0)
-                what |= CURL_CSELECT_OUT;
+                socketEvents |= CURL_CSELECT_OUT;
             if ((event.events & (EPOLLERR | EPOLLHUP)) != 0)
-                what |= CURL_CSELECT_ERR;
+                socketEvents |= CURL_CSELECT_ERR;
             int running = 0;
-            curl_multi_socket_action(this->multi, event.data.fd, what, &running);
+            curl_multi_socket_action(this->multi, event.data.fd, socketEvents, &running);
         }
-        return ready < static_cast<int>(events.size());
+        return readyCount < static_cast<int>(events.size());
     }
 
     // True if an answer was handled.
-    bool deliverAll()
+    bool completeAll()
     {
-        int left = 0;
-        bool delivered = false;
-        while (CURLMsg* message = curl_multi_info_read(this->multi, &left)) {
+        int remaining = 0;
+        bool anyCompleted = false;
+        while (CURLMsg* message = curl_multi_info_read(this->multi, &remaining)) {
             if (message->msg != CURLMSG_DONE)
                 continue;
-            delivered = true;
-            this->deliver(message->easy_handle, message->data.result);
+            anyCompleted = true;
+            this->complete(message->easy_handle, message->data.result);
         }
-        return delivered;
+        return anyCompleted;
     }
 
     // Ends calls that were past their limit at `now`; `readAll` tells whether every
     // answer that had arrived by then was read.
-    void endLate(Millis now, bool readAll)
+    void expireCalls(Millis now, bool allRead)
     {
-        if (readAll)
-            this->behindSince.reset();
-        else if (!this->behindSince)
-            this->behindSince = now;
-        const Millis overdue = readAll ? now : now - longestBehind;
-        if (this->behindSince.value_or(overdue) > overdue)
+        if (allRead)
+            this->backlogSince.reset();
+        else if (!this->backlogSince)
+            this->backlogSince = now;
+        const Millis latestExpired = allRead ? now : now - maxExpiryDelay;
+        if (this->backlogSince.value_or(latestExpired) > latestExpired)
             return;
-        while (!this->limits.empty() && this->limits.begin()->first <= overdue) {
-            CURL* handle = this->limits.begin()->second;
-            this->limits.erase(this->limits.begin());
-            Pending& late = *this->pending.at(handle);
-            late.putOff(now);
-            if (late.limit() <= overdue) {
-                this->deliver(handle, CURLE_OPERATION_TIMEDOUT);
+        while (!this->deadlines.empty() && this->deadlines.begin()->first <= latestExpired) {
+            CURL* handle = this->deadlines.begin()->second;
+            this->deadlines.erase(this->deadlines.begin());
+            PendingCall& pendingCall = *this->pendingCalls.at(handle);
+            pendingCall.extendDeadline(now);
+            if (pendingCall.deadline() <= latestExpired) {
+                this->complete(handle, CURLE_OPERATION_TIMEDOUT);
                 continue;
             }
-            late.listedAt = late.limit();
-            this->limits.emplace(late.listedAt, handle);
+            pendingCall.listedDeadline = pendingCall.deadline();
+            this->deadlines.emplace(pendingCall.listedDeadline, handle);
         }
     }
 
-    void deliver(CURL* handle, CURLcode code)
+    void complete(CURL* handle, CURLcode code)
     {
         curl_multi_remove_handle(this->multi, handle);
-        const auto found = this->pending.find(handle);
-        const std::unique_ptr<Pending> done = std::move(found->second);
-        this->pending.erase(found);
-        this->limits.erase({ done->listedAt, handle });
-        this->account(handle, done->transfer);
-        detail::finish(handle, code, done->transfer);
-        this->give(handle);
-        done->handler(done->transfer.reply);
+        const auto found = this->pendingCalls.find(handle);
+        const std::unique_ptr<PendingCall> finishedCall = std::move(found->second);
+        this->pendingCalls.erase(found);
+        this->deadlines.erase({ finishedCall->listedDeadline, handle });
+        this->addTraffic(handle, finishedCall->transfer);
+        detail::fillReply(handle, code, finishedCall->transfer);
+        this->releaseHandle(handle);
+        finishedCall->handler(finishedCall->transfer.reply);
     }
 };
 
 AsyncClient::AsyncClient(AsyncClientOptions options, const Clock& clock)
     : native(std::make_unique<Native>(clock))
 {
-    detail::startLibrary();
-    Native& own = *this->native;
-    own.poller = epoll_create1(EPOLL_CLOEXEC);
-    own.waker = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
+    detail::initializeCurl();
+    Native& state = *this->native;
+    state.epollDescriptor = epoll_create1(EPOLL_CLOEXEC);
+    state.wakeDescriptor = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
     epoll_event event {};
-    event.data.fd = own.waker;
+    event.data.fd = state.wakeDescriptor;
     event.events = EPOLLIN;
-    epoll_ctl(own.poller, EPOLL_CTL_ADD, own.waker, &event);
-    own.multi = curl_multi_init();
-    curl_multi_setopt(own.multi, CURLMOPT_SOCKETFUNCTION, &Native::onSocket);
-    curl_multi_setopt(own.multi, CURLMOPT_SOCKETDATA, &own);
-    curl_multi_setopt(own.multi, CURLMOPT_TIMERFUNCTION, &Native::onTimer);
-    curl_multi_setopt(own.multi, CURLMOPT_TIMERDATA, &own);
-    curl_multi_setopt(own.multi, CURLMOPT_MAX_HOST_CONNECTIONS, options.connectionsPerPeer);
-    curl_multi_setopt(own.multi, CURLMOPT_MAXCONNECTS, options.connectionsKept);
-    curl_multi_setopt(own.multi, CURLMOPT_PIPELINING, static_cast<long>(CURLPIPE_NOTHING));
+    epoll_ctl(state.epollDescriptor, EPOLL_CTL_ADD, state.wakeDescriptor, &event);
+    state.multi = curl_multi_init();
+    curl_multi_setopt(state.multi, CURLMOPT_SOCKETFUNCTION, &Native::onSocket);
+    curl_multi_setopt(state.multi, CURLMOPT_SOCKETDATA, &state);
+    curl_multi_setopt(state.multi, CURLMOPT_TIMERFUNCTION, &Native::onTimer);
+    curl_multi_setopt(state.multi, CURLMOPT_TIMERDATA, &state);
+    curl_multi_setopt(state.multi, CURLMOPT_MAX_HOST_CONNECTIONS, options.maxConnectionsPerPeer);
+    curl_multi_setopt(state.multi, CURLMOPT_MAXCONNECTS, options.maxIdleConnections);
+    curl_multi_setopt(state.multi, CURLMOPT_PIPELINING, static_cast<long>(CURLPIPE_NOTHING));
 }
 
 AsyncClient::~AsyncClient()
 {
-    while (!this->native->pending.empty())
-        this->native->drop(this->native->pending.begin()->first);
-    for (CURL* handle : this->native->idle)
+    while (!this->native->pendingCalls.empty())
+        this->native->cancel(this->native->pendingCalls.begin()->first);
+    for (CURL* handle : this->native->idleHandles)
         curl_easy_cleanup(handle);
     curl_multi_cleanup(this->native->multi);
-    close(this->native->waker);
-    close(this->native->poller);
+    close(this->native->wakeDescriptor);
+    close(this->native->epollDescriptor);
 }
 
 void AsyncClient::send(Call call, Handler handler)
 {
-    CURL* handle = this->native->take();
-    auto entry = std::make_unique<Pending>();
-    entry->transfer.call = std::move(call);
-    entry->handler = std::move(handler);
-    entry->group = this->group;
+    CURL* handle = this->native->acquireHandle();
+    auto newCall = std::make_unique<PendingCall>();
+    newCall->transfer.call = std::move(call);
+    newCall->handler = std::move(handler);
+    newCall->group = this->group;
     const Millis now = this->native->clock.now();
-    entry->connectBy = now + entry->transfer.call.connectTimeout.count();
-    entry->answerBy = now + entry->transfer.call.timeout.count();
-    entry->listedAt = entry->limit();
-    detail::prepare(handle, entry->transfer, 0);
+    newCall->sendDeadline = now + newCall->transfer.call.connectTimeout.count();
+    newCall->answerDeadline = now + newCall->transfer.call.timeout.count();
+    newCall->listedDeadline = newCall->deadline();
+    detail::configureHandle(handle, newCall->transfer, 0);
     curl_easy_setopt(handle, CURLOPT_BUFFERSIZE, receiveBufferBytes);
     curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, 0L);
-    curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, noLimitMillis);
-    this->native->limits.emplace(entry->listedAt, handle);
-    this->native->pending.emplace(handle, std::move(entry));
+    curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, noTimeoutMillis);
+    this->native->deadlines.emplace(newCall->listedDeadline, handle);
+    this->native->pendingCalls.emplace(handle, std::move(newCall));
     curl_multi_add_handle(this->native->multi, handle);
 }
 
-void AsyncClient::run(std::chrono::milliseconds longest)
+void AsyncClient::run(std::chrono::milliseconds maxWait)
 {
-    const bool delivered = this->native->deliverAll();
+    const bool anyCompleted = this->native->completeAll();
     const Millis now = this->native->clock.now();
-    const bool readAll = this->native->runSockets(delivered ? std::chrono::milliseconds(0) : this->native->untilTimer(longest));
-    this->native->runTimer();
-    this->native->deliverAll();
+    const bool allRead = this->native->handleSockets(anyCompleted ? std::chrono::milliseconds(0) : this->native->maxPollTime(maxWait));
+    this->native->handleTimer();
+    this->native->completeAll();
     // What had arrived at `now` has been read. A starved or frozen thread would otherwise
     // take workers that answered for silent ones, and stop whole gangs for them.
-    this->native->endLate(now, readAll);
+    this->native->expireCalls(now, allRead);
 }
 
 void AsyncClient::wake()
 {
     const std::uint64_t one = 1;
-    static_cast<void>(write(this->native->waker, &one, sizeof(one))); // Fails only if it has been woken already.
+    static_cast<void>(write(this->native->wakeDescriptor, &one, sizeof(one))); // Fails only if it has been woken already.
 }
 
-void AsyncClient::abandon(int group)
+void AsyncClient::cancelGroup(int group)
 {
     std::vector<CURL*> handles;
-    for (const auto& [handle, entry] : this->native->pending) {
-        if (entry->group == group)
+    for (const auto& [handle, pendingCall] : this->native->pendingCalls) {
+        if (pendingCall->group == group)
             handles.push_back(handle);
     }
     for (CURL* handle : handles)
-        this->native->drop(handle);
+        this->native->cancel(handle);
 }
 
-std::size_t AsyncClient::underWay() const { return this->native->pending.size(); }
+std::size_t AsyncClient::callsInFlight() const { return this->native->pendingCalls.size(); }
 
 const std::map<std::string_view, Traffic>& AsyncClient::traffic() const { return this->native->traffic; }
 
--- a/src/http/async_client.h
+++ b/src/http/async_client.h
@@ -26,8 +26,8 @@
 namespace rattan::http {
 
 struct AsyncClientOptions {
-    long connectionsPerPeer { 3 }; // Further calls to the same peer wait their turn.
-    long connectionsKept { 1500 }; // Idle ones, over all peers: three to each of 500 workers.
+    long maxConnectionsPerPeer { 3 }; // Further calls to the same peer wait their turn.
+    long maxIdleConnections { 1500 }; // Idle ones, over all peers: three to each of 500 workers.
 };
 
 // What calls of one purpose have moved since the client was made.
@@ -51,19 +51,19 @@
     void send(Call, Handler);
 
     // Waits at most this long for something to happen, then handles it.
-    void run(std::chrono::milliseconds longest);
+    void run(std::chrono::milliseconds maxWait);
 
     // Ends a wait in run(), from any thread.
     void wake();
 
     // Breaks off every call whose `group` is this, without calling its handler.
     // What was already sent may still be acted on by the peer.
-    void abandon(int group);
+    void cancelGroup(int group);
 
     // The group given to the calls sent from now on; returns the one before.
-    int useGroup(int group) { return std::exchange(this->group, group); }
+    int setGroup(int group) { return std::exchange(this->group, group); }
 
-    std::size_t underWay() const;
+    std::size_t callsInFlight() const;
 
     // By the purpose that calls name.
     const std::map<std::string_view, Traffic>& traffic() const;
@@ -76,20 +76,20 @@
 };
 
 // While it lives, the calls that are sent are of a group.
-class CallGroup {
+class ScopedCallGroup {
 public:
-    CallGroup(AsyncClient& client, int group)
+    ScopedCallGroup(AsyncClient& client, int group)
         : client(client)
-        , before(client.useGroup(group))
+        , previousGroup(client.setGroup(group))
     {
     }
-    ~CallGroup() { this->client.useGroup(this->before); }
-    CallGroup(const CallGroup&) = delete;
-    CallGroup& operator=(const CallGroup&) = delete;
+    ~ScopedCallGroup() { this->client.setGroup(this->previousGroup); }
+    ScopedCallGroup(const ScopedCallGroup&) = delete;
+    ScopedCallGroup& operator=(const ScopedCallGroup&) = delete;
 
 private:
     AsyncClient& client;
-    const int before;
+    const int previousGroup;
 };
 
 } // namespace rattan::http
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -8,23 +8,23 @@
 
 struct Client::Pool {
     std::mutex mutex;
-    std::deque<CURL*> idle;
+    std::deque<CURL*> idleHandles;
 
-    CURL* take()
+    CURL* acquireHandle()
     {
         const std::lock_guard lock(this->mutex);
-        if (this->idle.empty())
+        if (this->idleHandles.empty())
             return curl_easy_init();
-        CURL* handle = this->idle.back();
-        this->idle.pop_back();
+        CURL* handle = this->idleHandles.back();
+        this->idleHandles.pop_back();
         return handle;
     }
 
-    void give(CURL* handle, std::size_t limit)
+    void releaseHandle(CURL* handle, std::size_t maxIdle)
     {
         const std::lock_guard lock(this->mutex);
-        if (this->idle.size() < limit)
-            this->idle.push_back(handle);
+        if (this->idleHandles.size() < maxIdle)
+            this->idleHandles.push_back(handle);
         else
             curl_easy_cleanup(handle);
     }
@@ -34,23 +34,23 @@
     : options(options)
     , pool(std::make_unique<Pool>())
 {
-    detail::startLibrary();
+    detail::initializeCurl();
 }
 
 Client::~Client()
 {
-    for (CURL* handle : this->pool->idle)
+    for (CURL* handle : this->pool->idleHandles)
         curl_easy_cleanup(handle);
 }
 
 Reply Client::send(const Call& call)
 {
-    CURL* handle = this->pool->take();
+    CURL* handle = this->pool->acquireHandle();
     detail::Transfer transfer { .call = call };
-    detail::prepare(handle, transfer, this->options.connectionsPerHandle);
+    detail::configureHandle(handle, transfer, this->options.maxConnectionsPerHandle);
     const CURLcode code = curl_easy_perform(handle);
-    detail::finish(handle, code, transfer);
-    this->pool->give(handle, this->options.poolSize);
+    detail::fillReply(handle, code, transfer);
+    this->pool->releaseHandle(handle, this->options.maxIdleHandles);
     return std::move(transfer.reply);
 }
 
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -38,41 +38,41 @@
     std::vector<std::pair<std::string, std::string>> headers;
     std::chrono::milliseconds timeout { 2000 };
     std::chrono::milliseconds connectTimeout { 500 };
-    std::size_t replyLimit { 4 << 20 }; // Bytes; a longer answer is an error.
+    std::size_t maxReplyBytes { 4 << 20 }; // Bytes; a longer answer is an error.
     bool once { false }; // Never sent twice, whatever happens.
     // May be sent again when a kept connection turns out dead; what has no body always may.
     // Only where the reader of the reply heeds Reply::isRepeat().
-    bool resend { false };
+    bool canResend { false };
     // The timeout counts from the last byte that came, for answers that a narrow link takes
     // long to carry; heeded by AsyncClient only.
-    bool timeoutWhileSilent { false };
+    bool restartTimeoutOnData { false };
     std::string_view purpose { "other" }; // What its traffic is counted under; a constant.
 };
 
-enum class Sent {
-    Nothing, // No byte of the request left: the peer cannot have acted.
-    Perhaps, // Some or all of it left, and no whole answer came.
+enum class SendOutcome {
+    NotSent, // No byte of the request left: the peer cannot have acted.
+    PossiblySent, // Some or all of it left, and no whole answer came.
     Answered, // A whole answer was read.
 };
 
 struct Reply {
-    Sent sent { Sent::Nothing };
+    SendOutcome sendOutcome { SendOutcome::NotSent };
     int transmissions { 0 }; // How often the request was sent, the repeats by libcurl included.
-    std::chrono::milliseconds repeatedAfter { 0 }; // From the first transmission to the last.
+    std::chrono::milliseconds resendDelay { 0 }; // From the first transmission to the last.
     int status { 0 };
     std::string body;
     std::map<std::string, std::string> headers; // Names in lower case.
     std::optional<Error> error; // Set unless sent is Answered.
 
     // An earlier transmission may have been acted on: a rejection speaks for the last one only.
-    bool isRepeat() const { return this->transmissions > 1; }
+    bool wasResent() const { return this->transmissions > 1; }
 
     bool ok() const { return !this->error && this->status >= 200 && this->status < 300; }
 };
 
 struct ClientOptions {
-    std::size_t poolSize { 32 }; // Idle handles kept, each with its connections.
-    long connectionsPerHandle { 4 };
+    std::size_t maxIdleHandles { 32 }; // Idle handles kept, each with its connections.
+    long maxConnectionsPerHandle { 4 };
 };
 
 class Client {
--- a/src/http/open_connections.cc
+++ b/src/http/open_connections.cc
@@ -6,65 +6,65 @@
 
 namespace rattan::http {
 
-OpenConnection& OpenConnections::opened(int socket)
+OpenConnection& OpenConnections::add(int socket)
 {
     const std::lock_guard lock(this->mutex);
-    if (this->ending)
+    if (this->isClosing)
         shutdown(socket, SHUT_RD);
     return this->connections.emplace_back(OpenConnection { socket });
 }
 
-void OpenConnections::began(OpenConnection& connection)
+void OpenConnections::markRequestStarted(OpenConnection& connection)
 {
     const std::lock_guard lock(this->mutex);
     connection.stage = RequestStage::Reading;
 }
 
-void OpenConnections::tookOver(OpenConnection& connection)
+void OpenConnections::markRequestRead(OpenConnection& connection)
 {
     const std::lock_guard lock(this->mutex);
     connection.stage = RequestStage::Answering;
 }
 
-void OpenConnections::finished(OpenConnection& connection)
+void OpenConnections::markRequestFinished(OpenConnection& connection)
 {
     const std::lock_guard lock(this->mutex);
     connection.stage = RequestStage::None;
-    if (this->ending)
+    if (this->isClosing)
         shutdown(connection.socket, SHUT_RD);
 }
 
-void OpenConnections::closing(OpenConnection& connection)
+void OpenConnections::remove(OpenConnection& connection)
 {
     const std::lock_guard lock(this->mutex);
     this->connections.remove_if([&](const OpenConnection& other) { return &other == &connection; });
     this->changed.notify_all();
 }
 
-void OpenConnections::end()
+void OpenConnections::closeWhenIdle()
 {
     const std::lock_guard lock(this->mutex);
-    this->ending = true;
+    this->isClosing = true;
     for (const OpenConnection& connection : this->connections) {
         if (connection.stage == RequestStage::None)
             shutdown(connection.socket, SHUT_RD);
     }
 }
 
-bool OpenConnections::waitUntilNone(Millis limit)
+bool OpenConnections::waitUntilEmpty(Millis limit)
 {
     std::unique_lock lock(this->mutex);
     return this->changed.wait_for(lock, std::chrono::milliseconds(limit), [this] { return this->connections.empty(); });
 }
 
-std::int64_t OpenConnections::inProgress() const { return this->count(RequestStage::Reading); }
+std::int64_t OpenConnections::requestsInProgress() const { return this->count(RequestStage::Reading); }
 
-std::int64_t OpenConnections::answering() const { return this->count(RequestStage::Answering); }
+std::int64_t OpenConnections::requestsBeingAnswered() const { return this->count(RequestStage::Answering); }
 
-std::int64_t OpenConnections::count(RequestStage least) const
+std::int64_t OpenConnections::count(RequestStage minStage) const
 {
     const std::lock_guard lock(this->mutex);
-    return std::count_if(this->connections.begin(), this->connections.end(), [&](const OpenConnection& connection) { return connection.stage >= least; });
+    return std::count_if(this->connections.begin(), this->connections.end(), [&](const OpenConnection& connection) { return connection.stage >= minStage; });
 }
 
 } // namespace rattan::http
--- a/src/http/open_connections.h
+++ b/src/http/open_connections.h
@@ -38,28 +38,28 @@
 
 class OpenConnections {
 public:
-    OpenConnection& opened(int socket);
-    void began(OpenConnection&);
-    void tookOver(OpenConnection&);
-    void finished(OpenConnection&);
-    void closing(OpenConnection&);
+    OpenConnection& add(int socket);
+    void markRequestStarted(OpenConnection&);
+    void markRequestRead(OpenConnection&);
+    void markRequestFinished(OpenConnection&);
+    void remove(OpenConnection&);
 
     // Ends what is idle now, and each other connection with its request.
-    void end();
+    void closeWhenIdle();
 
     // False if some are open after so many milliseconds.
-    bool waitUntilNone(Millis limit);
+    bool waitUntilEmpty(Millis limit);
 
-    std::int64_t inProgress() const; // Requests of which a part was read.
-    std::int64_t answering() const; // Requests that were read whole.
+    std::int64_t requestsInProgress() const; // Requests of which a part was read.
+    std::int64_t requestsBeingAnswered() const; // Requests that were read whole.
 
 private:
-    std::int64_t count(RequestStage least) const;
+    std::int64_t count(RequestStage minStage) const;
 
     mutable std::mutex mutex;
     std::condition_variable changed;
     std::list<OpenConnection> connections; // As many as the server lets in.
-    bool ending { false };
+    bool isClosing { false };
 };
 
 } // namespace rattan::http
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -20,13 +20,13 @@
 namespace {
 
     constexpr std::size_t threadStackBytes = 512 * 1024;
-    constexpr int portTries = 8;
+    constexpr int maxPortAttempts = 8;
     constexpr Millis millisPerSecond = 1000;
 
     struct Endpoint {
         const Server* server;
         std::string pattern;
-        std::int64_t bodyLimit;
+        std::int64_t maxBodyBytes;
         OpenConnections* connections;
     };
 
@@ -37,11 +37,11 @@
         return text;
     }
 
-    void copyMap(const _u_map* from, std::map<std::string, std::string>& to, bool lowered)
+    void copyMap(const _u_map* from, std::map<std::string, std::string>& to, bool lowerCaseNames)
     {
         for (int i = 0; i < u_map_count(from); ++i) {
             const std::string name = from->keys[i];
-            to[lowered ? lowerCase(name) : name] = from->values[i];
+            to[lowerCaseNames ? lowerCase(name) : name] = from->values[i];
         }
     }
 
@@ -82,22 +82,22 @@
     }
 
     // ulfius does not hand the connection on; one thread serves one connection.
-    thread_local OpenConnection* servedHere = nullptr;
+    thread_local OpenConnection* threadConnection = nullptr;
 
     int onRequest(const _u_request* from, _u_response* to, void* data)
     {
         const auto* endpoint = static_cast<const Endpoint*>(data);
-        endpoint->connections->tookOver(*servedHere);
+        endpoint->connections->markRequestRead(*threadConnection);
         const Request request = readRequest(from);
-        if (static_cast<std::int64_t>(request.body.size()) > endpoint->bodyLimit) {
+        if (static_cast<std::int64_t>(request.body.size()) > endpoint->maxBodyBytes) {
             writeAnswer(errorAnswer({ ErrorCode::TooLarge, "http.body", request.peer,
-                            fmt::format("the body is over {} bytes", endpoint->bodyLimit), {} }),
+                            fmt::format("the body is over {} bytes", endpoint->maxBodyBytes), {} }),
                 to);
         } else {
             try {
                 writeAnswer(endpoint->server->handle(endpoint->pattern, request), to);
-            } catch (const std::exception& problem) {
-                writeAnswer(errorAnswer({ ErrorCode::Internal, "http.handler", request.peer, problem.what(), {} }), to);
+            } catch (const std::exception& exception) {
+                writeAnswer(errorAnswer({ ErrorCode::Internal, "http.handler", request.peer, exception.what(), {} }), to);
             }
         }
         if (endpoint->server->isDraining())
@@ -115,24 +115,24 @@
     void onConnection(void* data, MHD_Connection* connection, void** context, MHD_ConnectionNotificationCode code)
     {
         if (code == MHD_CONNECTION_NOTIFY_STARTED)
-            *context = &connectionsOf(data).opened(MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd);
+            *context = &connectionsOf(data).add(MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd);
         else
-            connectionsOf(data).closing(*static_cast<OpenConnection*>(*context));
+            connectionsOf(data).remove(*static_cast<OpenConnection*>(*context));
     }
 
     // libmicrohttpd pairs these two: the first when a request line is read, the
     // second when the answer is written or the connection is gone.
-    void* onRequestBegun(void* data, const char* uri, MHD_Connection* connection)
+    void* onRequestStarted(void* data, const char* uri, MHD_Connection* connection)
     {
-        servedHere = &connectionOf(connection);
-        connectionsOf(data).began(*servedHere);
+        threadConnection = &connectionOf(connection);
+        connectionsOf(data).markRequestStarted(*threadConnection);
         return ulfius_uri_logger(nullptr, uri);
     }
 
-    void onRequestEnded(void* data, MHD_Connection* connection, void** state, MHD_RequestTerminationCode code)
+    void onRequestFinished(void* data, MHD_Connection* connection, void** state, MHD_RequestTerminationCode code)
     {
         mhd_request_completed(nullptr, connection, state, code);
-        connectionsOf(data).finished(connectionOf(connection));
+        connectionsOf(data).markRequestFinished(connectionOf(connection));
     }
 
     // A port that was free a moment ago; start() tries again if somebody was faster.
@@ -172,58 +172,58 @@
     this->routes[pattern][method] = std::move(handler);
 }
 
-void Server::fallback(Handler handler) { this->otherwise = std::move(handler); }
+void Server::fallback(Handler handler) { this->fallbackHandler = std::move(handler); }
 
 Result<void> Server::start()
 {
     const std::size_t colon = this->options.address.rfind(':');
     const std::string host = this->options.address.substr(0, colon);
-    sockaddr_in bindTo {};
-    bindTo.sin_family = AF_INET;
-    if (colon == std::string::npos || inet_pton(AF_INET, host.c_str(), &bindTo.sin_addr) != 1)
+    sockaddr_in bindAddress {};
+    bindAddress.sin_family = AF_INET;
+    if (colon == std::string::npos || inet_pton(AF_INET, host.c_str(), &bindAddress.sin_addr) != 1)
         return fail(ErrorCode::BadInput, "http.start", this->options.address, "an IPv4 number and port are expected");
-    const auto wanted = static_cast<std::uint16_t>(std::stoi(this->options.address.substr(colon + 1)));
+    const auto requestedPort = static_cast<std::uint16_t>(std::stoi(this->options.address.substr(colon + 1)));
     this->native->connections.emplace();
     this->draining = false;
-    for (int attempt = 0; attempt < portTries; ++attempt) {
-        const std::uint16_t port = wanted != 0 ? wanted : freePort(bindTo);
-        bindTo.sin_port = htons(port);
-        if (ulfius_init_instance(&this->native->instance, port, &bindTo, nullptr) != U_OK)
+    for (int attempt = 0; attempt < maxPortAttempts; ++attempt) {
+        const std::uint16_t port = requestedPort != 0 ? requestedPort : freePort(bindAddress);
+        bindAddress.sin_port = htons(port);
+        if (ulfius_init_instance(&this->native->instance, port, &bindAddress, nullptr) != U_OK)
             continue;
-        this->native->instance.max_post_body_size = static_cast<std::size_t>(this->options.bodyLimit) + 1;
+        this->native->instance.max_post_body_size = static_cast<std::size_t>(this->options.maxBodyBytes) + 1;
         this->native->instance.allowed_post_processor = U_POST_PROCESS_NONE;
         this->native->instance.check_utf8 = 0;
         this->native->endpoints.clear();
         for (const auto& [pattern, methods] : this->routes) {
-            this->native->endpoints.push_back(std::make_unique<Endpoint>(Endpoint { this, pattern, this->options.bodyLimit, &*this->native->connections }));
+            this->native->endpoints.push_back(std::make_unique<Endpoint>(Endpoint { this, pattern, this->options.maxBodyBytes, &*this->native->connections }));
             ulfius_add_endpoint_by_val(&this->native->instance, "*", nullptr, pattern.c_str(), 0, &onRequest, this->native->endpoints.back().get());
         }
-        this->native->endpoints.push_back(std::make_unique<Endpoint>(Endpoint { this, "", this->options.bodyLimit, &*this->native->connections }));
+        this->native->endpoints.push_back(std::make_unique<Endpoint>(Endpoint { this, "", this->options.maxBodyBytes, &*this->native->connections }));
         ulfius_set_default_endpoint(&this->native->instance, &onRequest, this->native->endpoints.back().get());
-        MHD_OptionItem items[] = {
-            { MHD_OPTION_NOTIFY_COMPLETED, reinterpret_cast<intptr_t>(&onRequestEnded), &*this->native->connections },
+        MHD_OptionItem daemonOptions[] = {
+            { MHD_OPTION_NOTIFY_COMPLETED, reinterpret_cast<intptr_t>(&onRequestFinished), &*this->native->connections },
             { MHD_OPTION_NOTIFY_CONNECTION, reinterpret_cast<intptr_t>(&onConnection), &*this->native->connections },
-            { MHD_OPTION_SOCK_ADDR, 0, &bindTo },
-            { MHD_OPTION_URI_LOG_CALLBACK, reinterpret_cast<intptr_t>(&onRequestBegun), &*this->native->connections },
-            { MHD_OPTION_CONNECTION_LIMIT, static_cast<intptr_t>(this->options.connectionLimit), nullptr },
-            { MHD_OPTION_CONNECTION_TIMEOUT, static_cast<intptr_t>(this->options.idleSeconds), nullptr },
+            { MHD_OPTION_SOCK_ADDR, 0, &bindAddress },
+            { MHD_OPTION_URI_LOG_CALLBACK, reinterpret_cast<intptr_t>(&onRequestStarted), &*this->native->connections },
+            { MHD_OPTION_CONNECTION_LIMIT, static_cast<intptr_t>(this->options.maxConnections), nullptr },
+            { MHD_OPTION_CONNECTION_TIMEOUT, static_cast<intptr_t>(this->options.idleTimeoutSeconds), nullptr },
             { MHD_OPTION_THREAD_STACK_SIZE, static_cast<intptr_t>(threadStackBytes), nullptr },
             { MHD_OPTION_END, 0, nullptr },
         };
         const unsigned flags = MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL | MHD_USE_ITC;
-        if (ulfius_start_framework_with_mhd_options(&this->native->instance, flags, items) == U_OK) {
+        if (ulfius_start_framework_with_mhd_options(&this->native->instance, flags, daemonOptions) == U_OK) {
             this->native->running = true;
             this->options.address = fmt::format("{}:{}", host, port);
             return {};
         }
         ulfius_clean_instance(&this->native->instance);
-        if (wanted != 0)
+        if (requestedPort != 0)
             break;
     }
     return fail(ErrorCode::Unavailable, "http.start", this->options.address, "the address cannot be listened on");
 }
 
-StopReport Server::stop() { return this->stop(this->options.stopSeconds * millisPerSecond); }
+StopReport Server::stop() { return this->stop(this->options.stopTimeoutSeconds * millisPerSecond); }
 
 StopReport Server::stop(Millis limit)
 {
@@ -235,13 +235,13 @@
     // Stopping the daemon closes every connection, also one whose request is just being
     // read or answered. So the listening socket goes first, then each connection once it
     // is idle, and the daemon closes only what is left at the limit.
-    const MHD_socket listening = MHD_quiesce_daemon(this->native->instance.mhd_daemon);
-    if (listening != MHD_INVALID_SOCKET)
-        close(listening);
-    report.inProgress = this->native->connections->inProgress();
-    this->native->connections->end();
-    if (!this->native->connections->waitUntilNone(limit))
-        report.cut = this->native->connections->answering();
+    const MHD_socket listeningSocket = MHD_quiesce_daemon(this->native->instance.mhd_daemon);
+    if (listeningSocket != MHD_INVALID_SOCKET)
+        close(listeningSocket);
+    report.inProgress = this->native->connections->requestsInProgress();
+    this->native->connections->closeWhenIdle();
+    if (!this->native->connections->waitUntilEmpty(limit))
+        report.interrupted = this->native->connections->requestsBeingAnswered();
     ulfius_stop_framework(&this->native->instance);
     ulfius_clean_instance(&this->native->instance);
     return report;
@@ -250,15 +250,15 @@
 Answer Server::handle(const std::string& pattern, const Request& request) const
 {
     const auto methods = this->routes.find(pattern);
-    if (methods == this->routes.end() && this->otherwise)
-        return this->otherwise(request);
+    if (methods == this->routes.end() && this->fallbackHandler)
+        return this->fallbackHandler(request);
     if (methods == this->routes.end())
         return errorAnswer({ ErrorCode::NotFound, "http.route", request.peer, "no such path", {} });
     const auto handler = methods->second.find(request.method);
     if (handler != methods->second.end())
         return handler->second(request);
     std::string allowed;
-    for (const auto& [method, unused] : methods->second)
+    for (const auto& [method, methodHandler] : methods->second)
         allowed += (allowed.empty() ? "" : ", ") + method;
     Answer answer = errorAnswer({ ErrorCode::MethodNotAllowed, "http.route", request.peer, "allowed here: " + allowed, {} });
     answer.headers.emplace_back("Allow", allowed);
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -31,15 +31,15 @@
 
 struct ServerOptions {
     std::string address { "127.0.0.1:0" }; // Port 0 takes a free one.
-    std::int64_t bodyLimit { 1 << 20 }; // Bytes.
-    std::int64_t connectionLimit { 512 };
-    std::int64_t idleSeconds { 60 }; // A silent connection is closed after this.
-    std::int64_t stopSeconds { 10 }; // Longest wait of stop() for requests in progress.
+    std::int64_t maxBodyBytes { 1 << 20 }; // Bytes.
+    std::int64_t maxConnections { 512 };
+    std::int64_t idleTimeoutSeconds { 60 }; // A silent connection is closed after this.
+    std::int64_t stopTimeoutSeconds { 10 }; // Longest wait of stop() for requests in progress.
 };
 
 struct StopReport {
     std::int64_t inProgress { 0 }; // Requests of which something was read when the stop began.
-    std::int64_t cut { 0 }; // Requests that were read whole, and whose answer was not written by the limit.
+    std::int64_t interrupted { 0 }; // Requests that were read whole, and whose answer was not written by the limit.
 };
 
 using Handler = std::function<Answer(const Request&)>;
@@ -80,7 +80,7 @@
 
     ServerOptions options;
     std::map<std::string, std::map<std::string, Handler>> routes; // pattern, method
-    Handler otherwise;
+    Handler fallbackHandler;
     std::atomic<bool> draining { false };
     std::unique_ptr<Native> native;
 };
--- a/src/http/testing/async_client_test.cc
+++ b/src/http/testing/async_client_test.cc
@@ -56,8 +56,8 @@
         }
         ~HoldingPeer()
         {
-            for (const int taken : this->connections)
-                close(taken);
+            for (const int connection : this->connections)
+                close(connection);
             close(this->listener);
         }
         HoldingPeer(const HoldingPeer&) = delete;
@@ -66,27 +66,27 @@
         std::string address() const { return fmt::format("127.0.0.1:{}", this->port); }
 
         // Takes what has come; the number of requests so far.
-        std::size_t takeRequests()
+        std::size_t readRequests()
         {
-            for (int taken = accept4(this->listener, nullptr, nullptr, SOCK_NONBLOCK); taken >= 0; taken = accept4(this->listener, nullptr, nullptr, SOCK_NONBLOCK))
-                this->connections.push_back(taken);
+            for (int connection = accept4(this->listener, nullptr, nullptr, SOCK_NONBLOCK); connection >= 0; connection = accept4(this->listener, nullptr, nullptr, SOCK_NONBLOCK))
+                this->connections.push_back(connection);
             std::array<char, 4096> buffer {};
-            for (const int taken : this->connections)
-                this->requests += read(taken, buffer.data(), buffer.size()) > 0 ? 1 : 0;
+            for (const int connection : this->connections)
+                this->requests += read(connection, buffer.data(), buffer.size()) > 0 ? 1 : 0;
             return this->requests;
         }
 
         // Returns once every answer lies at the client's socket.
-        void answerAll() { this->sendAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"); }
+        void answerAllRequests() { this->sendAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"); }
 
         // Part of an answer, on every connection.
         void sendAll(const std::string& answer)
         {
-            for (const int taken : this->connections) {
-                CPPUNIT_ASSERT_EQUAL(static_cast<ssize_t>(answer.size()), write(taken, answer.data(), answer.size()));
-                int unread = 1;
-                while (unread > 0)
-                    CPPUNIT_ASSERT_EQUAL(0, ioctl(taken, SIOCOUTQ, &unread));
+            for (const int connection : this->connections) {
+                CPPUNIT_ASSERT_EQUAL(static_cast<ssize_t>(answer.size()), write(connection, answer.data(), answer.size()));
+                int unacknowledged = 1;
+                while (unacknowledged > 0)
+                    CPPUNIT_ASSERT_EQUAL(0, ioctl(connection, SIOCOUTQ, &unacknowledged));
             }
         }
 
@@ -97,12 +97,12 @@
         std::size_t requests { 0 };
     };
 
-    double threadSeconds()
+    double threadCpuSeconds()
     {
-        timespec spent {};
-        clock_gettime(CLOCK_THREAD_CPUTIME_ID, &spent);
+        timespec cpuTime {};
+        clock_gettime(CLOCK_THREAD_CPUTIME_ID, &cpuTime);
         constexpr double nanosPerSecond = 1e9;
-        return static_cast<double>(spent.tv_sec) + static_cast<double>(spent.tv_nsec) / nanosPerSecond;
+        return static_cast<double>(cpuTime.tv_sec) + static_cast<double>(cpuTime.tv_nsec) / nanosPerSecond;
     }
 
 } // namespace
@@ -110,28 +110,28 @@
 class AsyncClientTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(AsyncClientTest);
     CPPUNIT_TEST(roundTrip);
-    CPPUNIT_TEST(callsToOnePeerWaitTheirTurn);
-    CPPUNIT_TEST(handlersMaySend);
-    CPPUNIT_TEST(silentPeerEndsAtTheTimeout);
-    CPPUNIT_TEST(answersThatHaveArrivedAreNotTimeouts);
-    CPPUNIT_TEST(silentPeersEndWhileOthersKeepTheClientBusy);
-    CPPUNIT_TEST(nothingSentWhileNoConnectionStands);
-    CPPUNIT_TEST(nothingSentWhenNobodyListens);
+    CPPUNIT_TEST(callsBeyondConnectionLimitAreQueued);
+    CPPUNIT_TEST(handlerCanSend);
+    CPPUNIT_TEST(silentPeerTimesOut);
+    CPPUNIT_TEST(receivedAnswersDoNotTimeOut);
+    CPPUNIT_TEST(silentPeerTimesOutUnderLoad);
+    CPPUNIT_TEST(connectTimeoutSendsNothing);
+    CPPUNIT_TEST(refusedConnectionSendsNothing);
     CPPUNIT_TEST(deadConnectionIsReplaced);
-    CPPUNIT_TEST(whatMayNotBeSentAgainFails);
-    CPPUNIT_TEST(everyTransmissionIsCounted);
-    CPPUNIT_TEST(abandonedCallsEndWithoutHandler);
-    CPPUNIT_TEST(wakeEndsAWait);
+    CPPUNIT_TEST(callWithoutResendFailsOnDeadConnection);
+    CPPUNIT_TEST(transmissionsAreCounted);
+    CPPUNIT_TEST(cancelledCallsDoNotCallHandler);
+    CPPUNIT_TEST(wakeEndsWait);
     CPPUNIT_TEST(trafficIsCountedByPurpose);
-    CPPUNIT_TEST(aSlowAnswerIsNotASilentPeer);
-    CPPUNIT_TEST(waitingCallsCostNothing);
+    CPPUNIT_TEST(slowAnswerDoesNotTimeOut);
+    CPPUNIT_TEST(pendingCallsDoNotSlowOthers);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void setUp() override
     {
         this->startServer("127.0.0.1:0");
-        this->client.emplace(AsyncClientOptions { .connectionsPerPeer = 1000 }, this->clock);
+        this->client.emplace(AsyncClientOptions { .maxConnectionsPerPeer = 1000 }, this->clock);
     }
 
     void roundTrip()
@@ -143,31 +143,31 @@
 
     // Guards against a load over a narrow link that is given up and begun anew for ever,
     // because the whole of it takes longer than an answer usually does.
-    void aSlowAnswerIsNotASilentPeer()
+    void slowAnswerDoesNotTimeOut()
     {
-        this->startManual();
+        this->useManualClock();
         HoldingPeer first;
         HoldingPeer second;
-        std::optional<Reply> patient;
-        std::optional<Reply> impatient;
-        this->client->send({ .address = first.address(), .timeout = 100ms, .timeoutWhileSilent = true }, [&](const Reply& reply) { patient = reply; });
-        this->client->send({ .address = second.address(), .timeout = 100ms }, [&](const Reply& reply) { impatient = reply; });
-        this->runUntil([&] { return first.takeRequests() == 1 && second.takeRequests() == 1; });
+        std::optional<Reply> idleTimeoutReply;
+        std::optional<Reply> totalTimeoutReply;
+        this->client->send({ .address = first.address(), .timeout = 100ms, .restartTimeoutOnData = true }, [&](const Reply& reply) { idleTimeoutReply = reply; });
+        this->client->send({ .address = second.address(), .timeout = 100ms }, [&](const Reply& reply) { totalTimeoutReply = reply; });
+        this->runUntil([&] { return first.readRequests() == 1 && second.readRequests() == 1; });
         const std::string parts = "12345";
         const std::string headers = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", parts.size());
         first.sendAll(headers);
         second.sendAll(headers);
         for (const char part : parts) {
             this->client->run(0ms);
-            this->manual.advance(60);
+            this->manualClock.advance(60);
             this->client->run(0ms);
             first.sendAll(std::string(1, part));
-            if (!impatient)
+            if (!totalTimeoutReply)
                 second.sendAll(std::string(1, part));
         }
-        this->runUntil([&] { return patient.has_value(); });
-        CPPUNIT_ASSERT_EQUAL(parts, patient->body);
-        CPPUNIT_ASSERT(impatient && impatient->error->code == ErrorCode::Timeout);
+        this->runUntil([&] { return idleTimeoutReply.has_value(); });
+        CPPUNIT_ASSERT_EQUAL(parts, idleTimeoutReply->body);
+        CPPUNIT_ASSERT(totalTimeoutReply && totalTimeoutReply->error->code == ErrorCode::Timeout);
     }
 
     // Calls time out on a machine whose link is full, and nobody can say what fills it.
@@ -187,18 +187,18 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), this->client->traffic().at("start").bytesReceived);
     }
 
-    void callsToOnePeerWaitTheirTurn()
+    void callsBeyondConnectionLimitAreQueued()
     {
-        this->client.emplace(AsyncClientOptions { .connectionsPerPeer = 2 }, this->clock);
+        this->client.emplace(AsyncClientOptions { .maxConnectionsPerPeer = 2 }, this->clock);
         int answered = 0;
         constexpr int calls = 20;
         for (int i = 0; i < calls; ++i)
             this->client->send({ .address = this->server->address(), .path = "/echo" }, [&](const Reply& reply) { answered += reply.ok() ? 1 : 0; });
         this->runUntil([&] { return answered == calls; });
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), this->client->underWay());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), this->client->callsInFlight());
     }
 
-    void handlersMaySend()
+    void handlerCanSend()
     {
         std::optional<Reply> second;
         this->client->send({ .address = this->server->address(), .path = "/echo" }, [&](const Reply&) {
@@ -210,12 +210,12 @@
 
     // A peer takes the request and is cut off before it answers. Without an end of
     // the wait, nobody would ever hear what became of the call.
-    void silentPeerEndsAtTheTimeout()
+    void silentPeerTimesOut()
     {
         const SilentPeer silent;
         const Reply reply = this->call({ .address = silent.address(), .timeout = 60ms });
         CPPUNIT_ASSERT(reply.error.has_value());
-        CPPUNIT_ASSERT(reply.sent == Sent::Perhaps);
+        CPPUNIT_ASSERT(reply.sendOutcome == SendOutcome::PossiblySent);
         CPPUNIT_ASSERT(reply.error->code == ErrorCode::Timeout);
     }
 
@@ -223,41 +223,41 @@
     // is over, and every answer lies there. A planner that takes them for lost stops the
     // gangs whose starts were answered: their callers wait seconds for a second start.
     // There are more of them here than one pass of the client reads.
-    void answersThatHaveArrivedAreNotTimeouts()
+    void receivedAnswersDoNotTimeOut()
     {
         HoldingPeer peer;
-        this->startManual();
+        this->useManualClock();
         constexpr std::size_t calls = 200;
         std::size_t answered = 0;
-        std::size_t lost = 0;
+        std::size_t failed = 0;
         for (std::size_t i = 0; i < calls; ++i)
-            this->client->send({ .address = peer.address(), .timeout = 230ms }, [&](const Reply& reply) { ++(reply.ok() ? answered : lost); });
-        this->runUntil([&] { return peer.takeRequests() == calls; });
-        peer.answerAll();
-        this->manual.advance(10'000);
-        this->runUntil([&] { return answered + lost == calls; });
+            this->client->send({ .address = peer.address(), .timeout = 230ms }, [&](const Reply& reply) { ++(reply.ok() ? answered : failed); });
+        this->runUntil([&] { return peer.readRequests() == calls; });
+        peer.answerAllRequests();
+        this->manualClock.advance(10'000);
+        this->runUntil([&] { return answered + failed == calls; });
         CPPUNIT_ASSERT_EQUAL(calls, answered);
     }
 
     // More answers come all the time than are read in one pass. A peer that is silent must
     // be noticed all the same, if a little later than it would be.
-    void silentPeersEndWhileOthersKeepTheClientBusy()
+    void silentPeerTimesOutUnderLoad()
     {
         const SilentPeer silent;
         HoldingPeer peer;
-        this->startManual();
+        this->useManualClock();
         constexpr std::size_t calls = 200;
         std::size_t answered = 0;
         bool silentEnded = false;
         for (std::size_t i = 0; i < calls; ++i)
             this->client->send({ .address = peer.address(), .timeout = 60s, .connectTimeout = 60s }, [&](const Reply& reply) { answered += reply.ok() ? 1 : 0; });
         this->client->send({ .address = silent.address(), .timeout = 100ms }, [&](const Reply&) { silentEnded = true; });
-        this->runUntil([&] { return peer.takeRequests() == calls; });
-        peer.answerAll();
-        this->manual.advance(300);
+        this->runUntil([&] { return peer.readRequests() == calls; });
+        peer.answerAllRequests();
+        this->manualClock.advance(300);
         this->client->run(0ms);
         CPPUNIT_ASSERT(!silentEnded);
-        this->manual.advance(600);
+        this->manualClock.advance(600);
         this->client->run(0ms);
         CPPUNIT_ASSERT(silentEnded);
         CPPUNIT_ASSERT(answered < calls);
@@ -265,27 +265,27 @@
 
     // A machine without power answers no connection attempt. Nothing was sent, and the
     // caller may safely ask another.
-    void nothingSentWhileNoConnectionStands()
+    void connectTimeoutSendsNothing()
     {
-        const SilentPeer full(0);
-        this->startManual();
+        const SilentPeer saturated(0);
+        this->useManualClock();
         constexpr std::size_t calls = 20; // Far more than the queue of new connections takes.
-        std::size_t unsent = 0;
+        std::size_t notSentCount = 0;
         std::size_t sent = 0;
         for (std::size_t i = 0; i < calls; ++i)
-            this->client->send({ .address = full.address(), .timeout = 60s, .connectTimeout = 100ms }, [&](const Reply& reply) { ++(reply.sent == Sent::Nothing ? unsent : sent); });
+            this->client->send({ .address = saturated.address(), .timeout = 60s, .connectTimeout = 100ms }, [&](const Reply& reply) { ++(reply.sendOutcome == SendOutcome::NotSent ? notSentCount : sent); });
         this->client->run(0ms);
-        this->manual.advance(101);
-        this->runUntil([&] { return unsent > 0; });
+        this->manualClock.advance(101);
+        this->runUntil([&] { return notSentCount > 0; });
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), sent);
     }
 
-    void nothingSentWhenNobodyListens()
+    void refusedConnectionSendsNothing()
     {
-        const std::string gone = this->server->address();
+        const std::string closedAddress = this->server->address();
         this->server.reset();
-        const Reply reply = this->call({ .address = gone });
-        CPPUNIT_ASSERT(reply.sent == Sent::Nothing);
+        const Reply reply = this->call({ .address = closedAddress });
+        CPPUNIT_ASSERT(reply.sendOutcome == SendOutcome::NotSent);
         CPPUNIT_ASSERT(reply.error->code == ErrorCode::Unavailable);
     }
 
@@ -303,32 +303,32 @@
     // A worker crashes with a call waiting at it and is back at once. Sent again by
     // itself, the call would tell the worker's next life what was meant for the
     // earlier one, and its sender would never know.
-    void whatMayNotBeSentAgainFails()
+    void callWithoutResendFailsOnDeadConnection()
     {
         const DroppingPeer peer;
-        const Call call { .method = "POST", .address = peer.address(), .path = "/", .body = "a look.", .timeout = 2000ms, .resend = false };
+        const Call call { .method = "POST", .address = peer.address(), .path = "/", .body = "a look.", .timeout = 2000ms, .canResend = false };
         CPPUNIT_ASSERT(this->call(call).ok());
         const Reply second = this->call(call);
         CPPUNIT_ASSERT(second.error.has_value());
-        CPPUNIT_ASSERT(second.sent == Sent::Perhaps);
+        CPPUNIT_ASSERT(second.sendOutcome == SendOutcome::PossiblySent);
         CPPUNIT_ASSERT_EQUAL(2, peer.requests());
     }
 
     // A rejection of a repeat was taken for the outcome of the call, for libcurl had written
     // the path in another way than its sender. What has no body is repeated unasked.
-    void everyTransmissionIsCounted()
+    void transmissionsAreCounted()
     {
         for (const char* path : { "/", "/a/./b", "/a/../b", "/a?b=/./", "/a#b" }) {
             for (const char* body : { "", "a look." }) {
                 const DroppingPeer peer({ { 200, "" }, { 503, "" } });
-                const Call call { .method = "POST", .address = peer.address(), .path = path, .body = body, .timeout = 2000ms, .resend = *body != '\0' };
+                const Call call { .method = "POST", .address = peer.address(), .path = path, .body = body, .timeout = 2000ms, .canResend = *body != '\0' };
                 const Reply first = this->call(call);
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(path, 1, first.transmissions);
-                CPPUNIT_ASSERT(!first.isRepeat());
+                CPPUNIT_ASSERT(!first.wasResent());
                 const Reply second = this->call(call);
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(path, 2, second.transmissions);
                 CPPUNIT_ASSERT_EQUAL(503, second.status);
-                CPPUNIT_ASSERT(second.isRepeat());
+                CPPUNIT_ASSERT(second.wasResent());
                 CPPUNIT_ASSERT_EQUAL(3, peer.requests());
             }
         }
@@ -336,46 +336,46 @@
 
     // A planner that lost its term drops what it still waits for; an answer that
     // comes later must not reach what is gone.
-    void abandonedCallsEndWithoutHandler()
+    void cancelledCallsDoNotCallHandler()
     {
         const SilentPeer silent;
-        bool heard = false;
+        bool handlerCalled = false;
         constexpr int group = 7;
-        this->client->useGroup(group);
-        this->client->send({ .address = silent.address(), .timeout = 60ms }, [&](const Reply&) { heard = true; });
-        this->client->useGroup(0);
+        this->client->setGroup(group);
+        this->client->send({ .address = silent.address(), .timeout = 60ms }, [&](const Reply&) { handlerCalled = true; });
+        this->client->setGroup(0);
         this->client->run(10ms);
-        this->client->abandon(group);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), this->client->underWay());
+        this->client->cancelGroup(group);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), this->client->callsInFlight());
         CPPUNIT_ASSERT(this->call({ .address = this->server->address(), .path = "/echo" }).ok());
-        CPPUNIT_ASSERT(!heard);
+        CPPUNIT_ASSERT(!handlerCalled);
     }
 
-    void wakeEndsAWait()
+    void wakeEndsWait()
     {
         std::thread other([&] { this->client->wake(); });
-        constexpr auto farAway = 20s;
-        const auto begun = std::chrono::steady_clock::now();
-        this->client->run(farAway);
+        constexpr auto maxWait = 20s;
+        const auto startedAt = std::chrono::steady_clock::now();
+        this->client->run(maxWait);
         other.join();
-        CPPUNIT_ASSERT(std::chrono::steady_clock::now() - begun < farAway);
+        CPPUNIT_ASSERT(std::chrono::steady_clock::now() - startedAt < maxWait);
     }
 
     // Every busy worker has a look waiting for its next end. With 3,000 of them, a
     // planner that asks about each socket at each answer spends all its time on that,
     // cannot renew its term, and no job starts any more.
-    void waitingCallsCostNothing()
+    void pendingCallsDoNotSlowOthers()
     {
-        constexpr int few = 10;
-        constexpr int many = 400;
-        constexpr double most = 4; // Measured 1.2; 12 where every socket is asked about.
-        const double beside = this->costBeside(few);
-        const double besideMany = this->costBeside(many);
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{:.1f} ms beside {}, {:.1f} ms beside {}", beside * 1000, few, besideMany * 1000, many), besideMany < beside * most);
+        constexpr int fewPending = 10;
+        constexpr int manyPending = 400;
+        constexpr double maxRatio = 4; // Measured 1.2; 12 where every socket is asked about.
+        const double cpuWithFew = this->cpuSecondsWithPending(fewPending);
+        const double cpuWithMany = this->cpuSecondsWithPending(manyPending);
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{:.1f} ms beside {}, {:.1f} ms beside {}", cpuWithFew * 1000, fewPending, cpuWithMany * 1000, manyPending), cpuWithMany < cpuWithFew * maxRatio);
     }
 
 private:
-    void startManual() { this->client.emplace(AsyncClientOptions { .connectionsPerPeer = 1000 }, this->manual); }
+    void useManualClock() { this->client.emplace(AsyncClientOptions { .maxConnectionsPerPeer = 1000 }, this->manualClock); }
 
     void startServer(const std::string& address)
     {
@@ -388,8 +388,8 @@
 
     void runUntil(const std::function<bool()>& done)
     {
-        constexpr int mostRuns = 2000;
-        for (int i = 0; i < mostRuns && !done(); ++i)
+        constexpr int maxIterations = 2000;
+        for (int i = 0; i < maxIterations && !done(); ++i)
             this->client->run(10ms);
         CPPUNIT_ASSERT(done());
     }
@@ -403,22 +403,22 @@
     }
 
     // Processor time of calls that are answered while so many others wait.
-    double costBeside(int waiting)
+    double cpuSecondsWithPending(int pendingCalls)
     {
         const SilentPeer silent;
-        this->client.emplace(AsyncClientOptions { .connectionsPerPeer = 1000 }, this->clock);
-        for (int i = 0; i < waiting; ++i)
+        this->client.emplace(AsyncClientOptions { .maxConnectionsPerPeer = 1000 }, this->clock);
+        for (int i = 0; i < pendingCalls; ++i)
             this->client->send({ .address = silent.address(), .timeout = 60s, .connectTimeout = 20s }, [](const Reply&) {});
         constexpr int calls = 200;
         this->call({ .address = this->server->address(), .path = "/echo" });
-        const double before = threadSeconds();
+        const double cpuBefore = threadCpuSeconds();
         for (int i = 0; i < calls; ++i)
             this->call({ .address = this->server->address(), .path = "/echo" });
-        return threadSeconds() - before;
+        return threadCpuSeconds() - cpuBefore;
     }
 
     SystemClock clock;
-    ManualClock manual;
+    ManualClock manualClock;
     std::optional<Server> server;
     std::optional<AsyncClient> client;
 };
--- a/src/http/testing/client_test.cc
+++ b/src/http/testing/client_test.cc
@@ -9,12 +9,12 @@
 class ClientTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(ClientTest);
     CPPUNIT_TEST(roundTrip);
-    CPPUNIT_TEST(wrongPathAndMethod);
-    CPPUNIT_TEST(bodyOverLimit);
-    CPPUNIT_TEST(nothingSentWhenNobodyListens);
-    CPPUNIT_TEST(throwingHandlerIsAnError);
-    CPPUNIT_TEST(longAnswerIsAnError);
-    CPPUNIT_TEST(emptyAnswerKeepsItsStatus);
+    CPPUNIT_TEST(unknownPathOrMethodIsRejected);
+    CPPUNIT_TEST(oversizedBodyIsRejected);
+    CPPUNIT_TEST(refusedConnectionSendsNothing);
+    CPPUNIT_TEST(throwingHandlerReturns500);
+    CPPUNIT_TEST(oversizedAnswerIsAnError);
+    CPPUNIT_TEST(emptyBodyKeepsStatus);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -38,7 +38,7 @@
         }
     }
 
-    void wrongPathAndMethod()
+    void unknownPathOrMethodIsRejected()
     {
         CPPUNIT_ASSERT_EQUAL(404, this->send({ .path = "/nowhere" }).status);
         const Reply reply = this->send({ .method = "DELETE", .path = "/echo/anna" });
@@ -46,31 +46,31 @@
         CPPUNIT_ASSERT_EQUAL(std::string("POST"), reply.headers.at("allow"));
     }
 
-    void bodyOverLimit()
+    void oversizedBodyIsRejected()
     {
         const Reply reply = this->send({ .method = "POST", .path = "/echo/anna", .body = std::string(2000, 'x') });
         CPPUNIT_ASSERT_EQUAL(413, reply.status);
     }
 
-    void nothingSentWhenNobodyListens()
+    void refusedConnectionSendsNothing()
     {
-        const std::string gone = this->server.address();
+        const std::string closedAddress = this->server.address();
         this->server.stop();
-        const Reply reply = this->client.send({ .address = gone });
-        CPPUNIT_ASSERT(reply.sent == Sent::Nothing);
+        const Reply reply = this->client.send({ .address = closedAddress });
+        CPPUNIT_ASSERT(reply.sendOutcome == SendOutcome::NotSent);
         CPPUNIT_ASSERT(reply.error->code == ErrorCode::Unavailable);
     }
 
     // A list that has not changed is answered 304 with no body. ulfius turned it
     // into 200, and its readers took an empty body for a broken list.
-    void emptyAnswerKeepsItsStatus() { CPPUNIT_ASSERT_EQUAL(304, this->send({ .path = "/empty" }).status); }
+    void emptyBodyKeepsStatus() { CPPUNIT_ASSERT_EQUAL(304, this->send({ .path = "/empty" }).status); }
 
-    void throwingHandlerIsAnError() { CPPUNIT_ASSERT_EQUAL(500, this->send({ .path = "/throw" }).status); }
+    void throwingHandlerReturns500() { CPPUNIT_ASSERT_EQUAL(500, this->send({ .path = "/throw" }).status); }
 
-    void longAnswerIsAnError()
+    void oversizedAnswerIsAnError()
     {
-        const Reply reply = this->send({ .path = "/long", .replyLimit = 50 });
-        CPPUNIT_ASSERT(reply.sent == Sent::Perhaps);
+        const Reply reply = this->send({ .path = "/long", .maxReplyBytes = 50 });
+        CPPUNIT_ASSERT(reply.sendOutcome == SendOutcome::PossiblySent);
         CPPUNIT_ASSERT(reply.error.has_value());
     }
 
@@ -81,7 +81,7 @@
         return this->client.send(call);
     }
 
-    Server server { { .address = "127.0.0.1:0", .bodyLimit = 1000 } };
+    Server server { { .address = "127.0.0.1:0", .maxBodyBytes = 1000 } };
     Client client;
 };
 
--- a/src/http/testing/dropping_peer.h
+++ b/src/http/testing/dropping_peer.h
@@ -57,42 +57,42 @@
     DroppingPeer& operator=(const DroppingPeer&) = delete;
 
     std::string address() const { return fmt::format("127.0.0.1:{}", this->port); }
-    int requests() const { return this->seen; }
+    int requests() const { return this->requestCount; }
 
 private:
     void serve()
     {
-        constexpr timeval longest { 2, 0 };
-        std::size_t next = 0;
-        for (int taken = accept(this->listener, nullptr, nullptr); taken >= 0; taken = accept(this->listener, nullptr, nullptr)) {
-            setsockopt(taken, SOL_SOCKET, SO_RCVTIMEO, &longest, sizeof(longest));
-            const PeerAnswer& answer = this->answers[std::min(next++, this->answers.size() - 1)];
-            const std::string bytes = fmt::format("HTTP/1.1 {} Status\r\nContent-Length: {}\r\n\r\n{}", answer.status, answer.body.size(), answer.body);
-            if (this->readRequest(taken))
-                send(taken, bytes.data(), bytes.size(), MSG_NOSIGNAL);
-            this->readRequest(taken);
-            close(taken);
+        constexpr timeval receiveTimeout { 2, 0 };
+        std::size_t nextAnswer = 0;
+        for (int connection = accept(this->listener, nullptr, nullptr); connection >= 0; connection = accept(this->listener, nullptr, nullptr)) {
+            setsockopt(connection, SOL_SOCKET, SO_RCVTIMEO, &receiveTimeout, sizeof(receiveTimeout));
+            const PeerAnswer& answer = this->answers[std::min(nextAnswer++, this->answers.size() - 1)];
+            const std::string response = fmt::format("HTTP/1.1 {} Status\r\nContent-Length: {}\r\n\r\n{}", answer.status, answer.body.size(), answer.body);
+            if (this->readRequest(connection))
+                send(connection, response.data(), response.size(), MSG_NOSIGNAL);
+            this->readRequest(connection);
+            close(connection);
         }
     }
 
-    static std::size_t lengthOf(const std::string& head)
+    static std::size_t contentLength(const std::string& headers)
     {
         const std::string name = "Content-Length: ";
-        const std::size_t at = head.find(name);
-        return at == std::string::npos ? 0 : std::stoul(head.substr(at + name.size()));
+        const std::size_t position = headers.find(name);
+        return position == std::string::npos ? 0 : std::stoul(headers.substr(position + name.size()));
     }
 
-    bool readRequest(int taken)
+    bool readRequest(int connection)
     {
         const std::string end = "\r\n\r\n";
         std::string request;
         std::array<char, 4096> buffer {};
-        for (ssize_t got = read(taken, buffer.data(), buffer.size()); got > 0; got = read(taken, buffer.data(), buffer.size())) {
-            request.append(buffer.data(), static_cast<std::size_t>(got));
-            const std::size_t head = request.find(end);
-            if (head == std::string::npos || request.size() < head + end.size() + lengthOf(request.substr(0, head)))
+        for (ssize_t bytesRead = read(connection, buffer.data(), buffer.size()); bytesRead > 0; bytesRead = read(connection, buffer.data(), buffer.size())) {
+            request.append(buffer.data(), static_cast<std::size_t>(bytesRead));
+            const std::size_t headerSize = request.find(end);
+            if (headerSize == std::string::npos || request.size() < headerSize + end.size() + contentLength(request.substr(0, headerSize)))
                 continue;
-            ++this->seen;
+            ++this->requestCount;
             return true;
         }
         return false;
@@ -101,7 +101,7 @@
     const std::vector<PeerAnswer> answers;
     int listener;
     int port { 0 };
-    std::atomic<int> seen { 0 };
+    std::atomic<int> requestCount { 0 };
     std::thread thread;
 };
 
--- a/src/http/testing/open_connections_test.cc
+++ b/src/http/testing/open_connections_test.cc
@@ -10,8 +10,8 @@
 
 class OpenConnectionsTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(OpenConnectionsTest);
-    CPPUNIT_TEST(eachConnectionEndsOnceNothingIsInProgressOnIt);
-    CPPUNIT_TEST(requestsAreCountedByWhatWasRead);
+    CPPUNIT_TEST(connectionClosesWhenItsRequestEnds);
+    CPPUNIT_TEST(requestsAreCountedByStage);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -31,46 +31,46 @@
 
     // A connection ended too soon cuts the rest of a request, one that is forgotten takes
     // requests until the process is gone.
-    void eachConnectionEndsOnceNothingIsInProgressOnIt()
+    void connectionClosesWhenItsRequestEnds()
     {
         OpenConnections connections;
-        OpenConnection& idle = connections.opened(this->pairs[0][0]);
-        OpenConnection& busy = connections.opened(this->pairs[1][0]);
-        connections.began(busy);
-        connections.end();
-        CPPUNIT_ASSERT(this->isEnded(0));
-        CPPUNIT_ASSERT(!this->isEnded(1));
-        connections.tookOver(busy);
-        CPPUNIT_ASSERT(!this->isEnded(1));
-        connections.finished(busy);
-        CPPUNIT_ASSERT(this->isEnded(1));
-        OpenConnection& late = connections.opened(this->pairs[2][0]);
-        CPPUNIT_ASSERT(this->isEnded(2));
-        connections.closing(idle);
-        connections.closing(busy);
-        CPPUNIT_ASSERT(!connections.waitUntilNone(0));
-        connections.closing(late);
-        CPPUNIT_ASSERT(connections.waitUntilNone(0));
+        OpenConnection& idle = connections.add(this->pairs[0][0]);
+        OpenConnection& busy = connections.add(this->pairs[1][0]);
+        connections.markRequestStarted(busy);
+        connections.closeWhenIdle();
+        CPPUNIT_ASSERT(this->isReadClosed(0));
+        CPPUNIT_ASSERT(!this->isReadClosed(1));
+        connections.markRequestRead(busy);
+        CPPUNIT_ASSERT(!this->isReadClosed(1));
+        connections.markRequestFinished(busy);
+        CPPUNIT_ASSERT(this->isReadClosed(1));
+        OpenConnection& newConnection = connections.add(this->pairs[2][0]);
+        CPPUNIT_ASSERT(this->isReadClosed(2));
+        connections.remove(idle);
+        connections.remove(busy);
+        CPPUNIT_ASSERT(!connections.waitUntilEmpty(0));
+        connections.remove(newConnection);
+        CPPUNIT_ASSERT(connections.waitUntilEmpty(0));
     }
 
-    void requestsAreCountedByWhatWasRead()
+    void requestsAreCountedByStage()
     {
         OpenConnections connections;
-        OpenConnection& first = connections.opened(this->pairs[0][0]);
-        OpenConnection& second = connections.opened(this->pairs[1][0]);
-        connections.opened(this->pairs[2][0]);
-        connections.began(first);
-        connections.began(second);
-        connections.tookOver(second);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, connections.inProgress());
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, connections.answering());
-        connections.finished(second);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, connections.inProgress());
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, connections.answering());
+        OpenConnection& first = connections.add(this->pairs[0][0]);
+        OpenConnection& second = connections.add(this->pairs[1][0]);
+        connections.add(this->pairs[2][0]);
+        connections.markRequestStarted(first);
+        connections.markRequestStarted(second);
+        connections.markRequestRead(second);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, connections.requestsInProgress());
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, connections.requestsBeingAnswered());
+        connections.markRequestFinished(second);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, connections.requestsInProgress());
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, connections.requestsBeingAnswered());
     }
 
 private:
-    bool isEnded(std::size_t pair) const
+    bool isReadClosed(std::size_t pair) const
     {
         char byte = 0;
         return recv(this->pairs.at(pair)[0], &byte, 1, MSG_DONTWAIT) == 0;
--- a/src/http/testing/raw_caller.h
+++ b/src/http/testing/raw_caller.h
@@ -23,8 +23,8 @@
         name.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         name.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(address.rfind(':') + 1))));
         CPPUNIT_ASSERT_EQUAL(0, connect(this->socket, reinterpret_cast<sockaddr*>(&name), sizeof(name)));
-        constexpr timeval longest { 20, 0 };
-        setsockopt(this->socket, SOL_SOCKET, SO_RCVTIMEO, &longest, sizeof(longest));
+        constexpr timeval receiveTimeout { 20, 0 };
+        setsockopt(this->socket, SOL_SOCKET, SO_RCVTIMEO, &receiveTimeout, sizeof(receiveTimeout));
     }
     ~RawCaller() { close(this->socket); }
     RawCaller(const RawCaller&) = delete;
@@ -43,29 +43,29 @@
         const std::string end = "\r\n\r\n";
         std::array<char, 4096> buffer {};
         for (;;) {
-            const std::size_t head = this->read.find(end);
-            if (head != std::string::npos && this->read.size() >= head + end.size() + lengthOf(this->read.substr(0, head))) {
-                const int status = std::stoi(this->read.substr(this->read.find(' ') + 1));
-                this->read.erase(0, head + end.size() + lengthOf(this->read.substr(0, head)));
+            const std::size_t headerSize = this->unparsed.find(end);
+            if (headerSize != std::string::npos && this->unparsed.size() >= headerSize + end.size() + contentLength(this->unparsed.substr(0, headerSize))) {
+                const int status = std::stoi(this->unparsed.substr(this->unparsed.find(' ') + 1));
+                this->unparsed.erase(0, headerSize + end.size() + contentLength(this->unparsed.substr(0, headerSize)));
                 return status;
             }
-            const ssize_t got = recv(this->socket, buffer.data(), buffer.size(), 0);
-            if (got <= 0)
+            const ssize_t bytesReceived = recv(this->socket, buffer.data(), buffer.size(), 0);
+            if (bytesReceived <= 0)
                 return 0;
-            this->read.append(buffer.data(), static_cast<std::size_t>(got));
+            this->unparsed.append(buffer.data(), static_cast<std::size_t>(bytesReceived));
         }
     }
 
 private:
-    static std::size_t lengthOf(const std::string& head)
+    static std::size_t contentLength(const std::string& headers)
     {
         const std::string name = "Content-Length: ";
-        const std::size_t at = head.find(name);
-        return at == std::string::npos ? 0 : std::stoul(head.substr(at + name.size()));
+        const std::size_t position = headers.find(name);
+        return position == std::string::npos ? 0 : std::stoul(headers.substr(position + name.size()));
     }
 
     int socket;
-    std::string read;
+    std::string unparsed;
 };
 
 } // namespace rattan::http::testing
--- a/src/http/testing/server_test.cc
+++ b/src/http/testing/server_test.cc
@@ -16,26 +16,26 @@
 
 class ServerTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(ServerTest);
-    CPPUNIT_TEST(stopCutsNoRequestInProgress);
-    CPPUNIT_TEST(stopCutsNoCallerThatGoesOnSending);
-    CPPUNIT_TEST(stopCutsNoRequestThatIsBeingRead);
-    CPPUNIT_TEST(stopWaitsForNoIdleConnection);
-    CPPUNIT_TEST(stopEndsThoughARequestStaysHalfSent);
-    CPPUNIT_TEST(stopEndsThoughAnAnswerIsNeverRead);
-    CPPUNIT_TEST(whoSendsNoMoreIsAnswered);
+    CPPUNIT_TEST(stopAnswersRequestsInProgress);
+    CPPUNIT_TEST(stopAnswersEveryRequestOfBusyConnections);
+    CPPUNIT_TEST(stopReadsRequestsInTransfer);
+    CPPUNIT_TEST(stopClosesIdleConnections);
+    CPPUNIT_TEST(stopEndsDespiteUnfinishedRequest);
+    CPPUNIT_TEST(stopEndsDespiteUnreadAnswer);
+    CPPUNIT_TEST(halfClosedConnectionIsAnswered);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // A planned stop comes while a handler works. The caller whose hold was just
     // made would see its connection cut and could not know whether it has seats.
-    void stopCutsNoRequestInProgress()
+    void stopAnswersRequestsInProgress()
     {
         std::promise<void> entered;
-        std::promise<void> mayAnswer;
+        std::promise<void> answerAllowed;
         Server server({});
         server.route("GET", "/slow", [&](const Request&) {
             entered.set_value();
-            mayAnswer.get_future().wait();
+            answerAllowed.get_future().wait();
             return Answer { 200, std::string(200000, 'x'), "text/plain", {} };
         });
         CPPUNIT_ASSERT(!attemptVoid([&] { return server.start(); }));
@@ -45,31 +45,31 @@
         entered.get_future().wait();
         auto stopped = std::async(std::launch::async, [&] { server.stop(); });
         // Once nobody is let in any more, the stop is under way.
-        while (client.send({ .address = address, .path = "/nowhere", .once = true }).sent == Sent::Answered) { }
-        mayAnswer.set_value();
+        while (client.send({ .address = address, .path = "/nowhere", .once = true }).sendOutcome == SendOutcome::Answered) { }
+        answerAllowed.set_value();
         CPPUNIT_ASSERT_EQUAL(std::size_t { 200000 }, reply.get().body.size());
         stopped.get();
     }
 
     // Callers keep their connections and always have a request in progress, so the stop
     // never finds a moment without one.
-    void stopCutsNoCallerThatGoesOnSending()
+    void stopAnswersEveryRequestOfBusyConnections()
     {
         std::mutex mutex;
         std::condition_variable changed;
-        int begun = 0;
+        int started = 0;
         int answered = 0;
         int connected = 2;
-        Server server({ .stopSeconds = 1 });
+        Server server({ .stopTimeoutSeconds = 1 });
         server.route("GET", "/turn", [&](const Request&) {
             std::unique_lock lock(mutex);
-            const int own = ++begun;
+            const int ordinal = ++started;
             changed.notify_all();
-            changed.wait(lock, [&] { return begun > own || connected < 2; });
+            changed.wait(lock, [&] { return started > ordinal || connected < 2; });
             return Answer { 200, "{}", "application/json", {} };
         });
         CPPUNIT_ASSERT(!attemptVoid([&] { return server.start(); }));
-        const auto goOnSending = [&] {
+        const auto sendUntilClosed = [&] {
             RawCaller caller(server.address());
             for (int status = 200; status == 200;) {
                 caller.get("/turn");
@@ -81,19 +81,19 @@
             --connected;
             changed.notify_all();
         };
-        std::array<std::thread, 2> callers { std::thread(goOnSending), std::thread(goOnSending) };
+        std::array<std::thread, 2> callers { std::thread(sendUntilClosed), std::thread(sendUntilClosed) };
         {
             std::unique_lock lock(mutex);
-            changed.wait(lock, [&] { return begun > 20; });
+            changed.wait(lock, [&] { return started > 20; });
         }
         server.stop();
         for (std::thread& caller : callers)
             caller.join();
-        CPPUNIT_ASSERT_EQUAL(begun, answered);
+        CPPUNIT_ASSERT_EQUAL(started, answered);
     }
 
     // A body comes slowly, and its head was read before the stop.
-    void stopCutsNoRequestThatIsBeingRead()
+    void stopReadsRequestsInTransfer()
     {
         Server server({});
         server.route("POST", "/jobs", [](const Request& request) { return Answer { 200, request.body }; });
@@ -101,15 +101,15 @@
         RawCaller caller(server.address());
         sendHead(caller);
         auto stopped = std::async(std::launch::async, [&] { return server.stop(); });
-        awaitStop(server);
+        waitUntilRefused(server);
         caller.send("four");
         CPPUNIT_ASSERT_EQUAL(200, caller.readAnswer());
         CPPUNIT_ASSERT_EQUAL(0, caller.readAnswer());
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, stopped.get().cut);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, stopped.get().interrupted);
     }
 
     // A caller keeps its connection for its next request, which may be minutes away.
-    void stopWaitsForNoIdleConnection()
+    void stopClosesIdleConnections()
     {
         Server server({});
         server.route("GET", "/jobs", [](const Request&) { return Answer { 200, "{}" }; });
@@ -119,14 +119,14 @@
         CPPUNIT_ASSERT_EQUAL(200, caller.readAnswer());
         constexpr Millis limit = 20000;
         const SystemClock clock;
-        const Millis begun = clock.now();
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, server.stop(limit).cut);
-        CPPUNIT_ASSERT(clock.now() - begun < limit);
+        const Millis started = clock.now();
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, server.stop(limit).interrupted);
+        CPPUNIT_ASSERT(clock.now() - started < limit);
         CPPUNIT_ASSERT_EQUAL(0, caller.readAnswer());
     }
 
     // A caller is cut off from the network in the middle of its request.
-    void stopEndsThoughARequestStaysHalfSent()
+    void stopEndsDespiteUnfinishedRequest()
     {
         Server server({});
         server.route("POST", "/jobs", [](const Request& request) { return Answer { 200, request.body }; });
@@ -135,11 +135,11 @@
         sendHead(caller);
         const StopReport report = server.stop(20);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, report.inProgress);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, report.cut);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, report.interrupted);
     }
 
     // A caller is cut off from the network in the middle of an answer.
-    void stopEndsThoughAnAnswerIsNeverRead()
+    void stopEndsDespiteUnreadAnswer()
     {
         std::promise<void> entered;
         Server server({});
@@ -153,11 +153,11 @@
         entered.get_future().wait();
         const StopReport report = server.stop(20);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, report.inProgress);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, report.cut);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, report.interrupted);
     }
 
     // The end of what can be read comes together with a request: so it is at a stop.
-    void whoSendsNoMoreIsAnswered()
+    void halfClosedConnectionIsAnswered()
     {
         Server server({});
         server.route("GET", "/jobs", [](const Request&) { return Answer { 200, "{}" }; });
@@ -179,10 +179,10 @@
     }
 
     // Returns once nobody is let in any more.
-    static void awaitStop(const Server& server)
+    static void waitUntilRefused(const Server& server)
     {
         Client client;
-        while (client.send({ .address = server.address(), .path = "/nowhere", .once = true }).sent == Sent::Answered) { }
+        while (client.send({ .address = server.address(), .path = "/nowhere", .once = true }).sendOutcome == SendOutcome::Answered) { }
     }
 };
 
--- a/src/http/transfer.cc
+++ b/src/http/transfer.cc
@@ -13,8 +13,8 @@
     std::size_t onBody(char* data, std::size_t size, std::size_t count, void* user)
     {
         auto* transfer = static_cast<Transfer*>(user);
-        if (transfer->reply.body.size() + size * count > transfer->call.replyLimit) {
-            transfer->overLimit = true;
+        if (transfer->reply.body.size() + size * count > transfer->call.maxReplyBytes) {
+            transfer->isOverLimit = true;
             return 0;
         }
         transfer->reply.body.append(data, size * count);
@@ -41,19 +41,19 @@
     {
         auto* transfer = static_cast<Transfer*>(user);
         const std::string& body = transfer->call.body;
-        const std::size_t length = std::min(size * count, body.size() - transfer->bodySent);
-        body.copy(data, length, transfer->bodySent);
-        transfer->bodySent += length;
+        const std::size_t length = std::min(size * count, body.size() - transfer->bodyBytesSent);
+        body.copy(data, length, transfer->bodyBytesSent);
+        transfer->bodyBytesSent += length;
         return length;
     }
 
     // libcurl sends a request again when a connection that it has used before breaks
     // without an answer. What reads the body from a function that cannot go back, it
     // cannot send again: the call fails, and its sender decides.
-    void giveBody(CURL* handle, Transfer& transfer)
+    void setBody(CURL* handle, Transfer& transfer)
     {
         const Call& call = transfer.call;
-        if (call.resend) {
+        if (call.canResend) {
             curl_easy_setopt(handle, CURLOPT_POSTFIELDSIZE_LARGE, static_cast<curl_off_t>(call.body.size()));
             curl_easy_setopt(handle, CURLOPT_POSTFIELDS, call.body.data());
             return;
@@ -67,7 +67,7 @@
     // Once for each connection that libcurl is about to send the request on.
     int onConnection(void* user, char*, char*, int, int)
     {
-        static_cast<Transfer*>(user)->atStart = true;
+        static_cast<Transfer*>(user)->awaitsFirstByte = true;
         return CURL_PREREQFUNC_OK;
     }
 
@@ -75,8 +75,8 @@
     {
         const auto now = std::chrono::steady_clock::now();
         if (++transfer.reply.transmissions == 1)
-            transfer.firstSent = now;
-        transfer.reply.repeatedAfter = std::chrono::duration_cast<std::chrono::milliseconds>(now - transfer.firstSent);
+            transfer.firstTransmissionAt = now;
+        transfer.reply.resendDelay = std::chrono::duration_cast<std::chrono::milliseconds>(now - transfer.firstTransmissionAt);
     }
 
     // libcurl reports each block of the request as it is handed to the socket, so
@@ -85,9 +85,9 @@
     {
         auto* transfer = static_cast<Transfer*>(user);
         if (type == CURLINFO_HEADER_OUT || type == CURLINFO_DATA_OUT) {
-            if (std::exchange(transfer->atStart, false))
+            if (std::exchange(transfer->awaitsFirstByte, false))
                 countTransmission(*transfer);
-            transfer->wroteBytes = true;
+            transfer->hasSentBytes = true;
             transfer->bytesSent += size;
         }
         if (type == CURLINFO_HEADER_IN || type == CURLINFO_DATA_IN)
@@ -95,46 +95,46 @@
         return 0;
     }
 
-    ErrorCode codeFor(CURLcode code, bool wroteBytes)
+    ErrorCode errorCodeFor(CURLcode code, bool hasSentBytes)
     {
         if (code == CURLE_OPERATION_TIMEDOUT)
-            return wroteBytes ? ErrorCode::Timeout : ErrorCode::Unavailable;
-        return wroteBytes ? ErrorCode::Interrupted : ErrorCode::Unavailable;
+            return hasSentBytes ? ErrorCode::Timeout : ErrorCode::Unavailable;
+        return hasSentBytes ? ErrorCode::Interrupted : ErrorCode::Unavailable;
     }
 
-    curl_slist* headerList(const Call& call)
+    curl_slist* buildHeaders(const Call& call)
     {
         curl_slist* list = curl_slist_append(nullptr, "Expect:");
         for (const auto& [name, value] : call.headers)
             list = curl_slist_append(list, fmt::format("{}: {}", name, value).c_str());
-        if (const std::string parent = currentSpan().traceparent(); !parent.empty())
-            list = curl_slist_append(list, ("traceparent: " + parent).c_str());
+        if (const std::string traceparent = currentSpan().traceparent(); !traceparent.empty())
+            list = curl_slist_append(list, ("traceparent: " + traceparent).c_str());
         return list;
     }
 
 } // namespace
 
-void startLibrary()
+void initializeCurl()
 {
     static const CURLcode initialised = curl_global_init(CURL_GLOBAL_DEFAULT);
     static_cast<void>(initialised);
 }
 
-void prepare(CURL* handle, Transfer& transfer, long keptConnections)
+void configureHandle(CURL* handle, Transfer& transfer, long maxCachedConnections)
 {
     const Call& call = transfer.call;
     curl_easy_reset(handle);
     curl_easy_setopt(handle, CURLOPT_URL, fmt::format("http://{}{}", call.address, call.path).c_str());
     curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, call.method.c_str());
     if (!call.body.empty() || call.method == "POST" || call.method == "PUT")
-        giveBody(handle, transfer);
+        setBody(handle, transfer);
     curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(handle, CURLOPT_PROXY, "");
     curl_easy_setopt(handle, CURLOPT_PROTOCOLS_STR, "http");
     curl_easy_setopt(handle, CURLOPT_HTTP_VERSION, static_cast<long>(CURL_HTTP_VERSION_1_1));
     curl_easy_setopt(handle, CURLOPT_HTTP09_ALLOWED, 0L);
     curl_easy_setopt(handle, CURLOPT_TCP_NODELAY, 1L);
-    curl_easy_setopt(handle, CURLOPT_MAXCONNECTS, keptConnections);
+    curl_easy_setopt(handle, CURLOPT_MAXCONNECTS, maxCachedConnections);
     curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, static_cast<long>(std::max<std::int64_t>(call.timeout.count(), 1)));
     curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(std::min(call.connectTimeout, call.timeout).count()));
     curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, call.once ? 1L : 0L);
@@ -148,11 +148,11 @@
     curl_easy_setopt(handle, CURLOPT_VERBOSE, 1L);
     curl_easy_setopt(handle, CURLOPT_DEBUGFUNCTION, &onDebug);
     curl_easy_setopt(handle, CURLOPT_DEBUGDATA, &transfer);
-    transfer.headers = headerList(call);
+    transfer.headers = buildHeaders(call);
     curl_easy_setopt(handle, CURLOPT_HTTPHEADER, transfer.headers);
 }
 
-void finish(CURL* handle, CURLcode code, Transfer& transfer)
+void fillReply(CURL* handle, CURLcode code, Transfer& transfer)
 {
     long status = 0;
     curl_easy_getinfo(handle, CURLINFO_RESPONSE_CODE, &status);
@@ -161,12 +161,12 @@
     Reply& reply = transfer.reply;
     reply.status = static_cast<int>(status);
     if (code == CURLE_OK) {
-        reply.sent = Sent::Answered;
+        reply.sendOutcome = SendOutcome::Answered;
         return;
     }
-    reply.sent = transfer.wroteBytes ? Sent::Perhaps : Sent::Nothing;
-    const std::string why = transfer.overLimit ? fmt::format("the answer is over {} bytes", transfer.call.replyLimit) : curl_easy_strerror(code);
-    reply.error = Error { codeFor(code, transfer.wroteBytes), "http." + transfer.call.method + " " + transfer.call.path, transfer.call.address, why, {} };
+    reply.sendOutcome = transfer.hasSentBytes ? SendOutcome::PossiblySent : SendOutcome::NotSent;
+    const std::string message = transfer.isOverLimit ? fmt::format("the answer is over {} bytes", transfer.call.maxReplyBytes) : curl_easy_strerror(code);
+    reply.error = Error { errorCodeFor(code, transfer.hasSentBytes), "http." + transfer.call.method + " " + transfer.call.path, transfer.call.address, message, {} };
 }
 
 } // namespace rattan::http::detail
--- a/src/http/transfer.h
+++ b/src/http/transfer.h
@@ -12,24 +12,24 @@
 struct Transfer {
     Call call;
     Reply reply;
-    bool overLimit { false };
-    bool wroteBytes { false };
-    std::chrono::steady_clock::time_point firstSent; // When the first transmission began.
-    bool atStart { false }; // No byte of the present transmission has left.
-    std::size_t bodySent { 0 }; // Bytes handed over, of a call that must not be sent again.
+    bool isOverLimit { false };
+    bool hasSentBytes { false };
+    std::chrono::steady_clock::time_point firstTransmissionAt; // When the first transmission began.
+    bool awaitsFirstByte { false }; // No byte of the present transmission has left.
+    std::size_t bodyBytesSent { 0 }; // Bytes handed over, of a call that must not be sent again.
     std::uint64_t bytesSent { 0 }; // Headers and bodies, without what the network adds.
     std::uint64_t bytesReceived { 0 };
     curl_slist* headers { nullptr };
 };
 
 // Initialises libcurl once for the process; later calls do nothing.
-void startLibrary();
+void initializeCurl();
 
 // Resets the handle and gives it the call; `keptConnections` bounds its cache
 // where it runs on its own.
-void prepare(CURL*, Transfer&, long keptConnections);
+void configureHandle(CURL*, Transfer&, long maxCachedConnections);
 
 // Fills in the reply, once libcurl says that the transfer is over.
-void finish(CURL*, CURLcode, Transfer&);
+void fillReply(CURL*, CURLcode, Transfer&);
 
 } // namespace rattan::http::detail
--- a/src/instance/control_loop.cc
+++ b/src/instance/control_loop.cc
@@ -55,7 +55,7 @@
     , protocols(protocols)
     , clock(clock)
     , metrics(metrics)
-    , client({ .connectionsPerPeer = connectionsPerPeer }, clock)
+    , client({ .maxConnectionsPerPeer = connectionsPerPeer }, clock)
     , gateway(gatewayOptions(this->settings), protocols.callers, this->jobs)
     , relay(this->client, protocols.callers, clock, this->settings.callerAddress)
     , configurationReader(this->client, protocols.store, clock, readerOptions(this->settings, Stream::Configuration), *this)
@@ -136,7 +136,7 @@
 {
     const Millis now = this->clock.now();
     const Millis wall = this->clock.wall();
-    this->client.useGroup(0);
+    this->client.setGroup(0);
     this->takeSettings();
     this->takeCommands(now, wall);
     this->configurationReader.step(now);
--- a/src/instance/control_loop_term.cc
+++ b/src/instance/control_loop_term.cc
@@ -109,7 +109,7 @@
     }
     if (!this->election.leads(now))
         return;
-    this->client.useGroup(static_cast<int>(this->election.term()));
+    this->client.setGroup(static_cast<int>(this->election.term()));
     if (!this->leadership) {
         const TermServices services { this->client, this->protocols.store, this->protocols.workers, this->roster, this->deliveries, this->clock, this->election, this->settings, this->metrics };
         this->metrics.count("rattan_terms_total", { { "event", "taken" } });
@@ -117,7 +117,7 @@
         this->leadership->applyCatalog(this->catalog);
     }
     this->leadership->step(now, wall);
-    this->client.useGroup(0);
+    this->client.setGroup(0);
     if (this->leadership->wantsPlans())
         this->plansReader.step(now);
 }
--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -85,7 +85,7 @@
 {
 }
 
-Leadership::~Leadership() { this->services.client.abandon(static_cast<int>(this->number)); }
+Leadership::~Leadership() { this->services.client.cancelGroup(static_cast<int>(this->number)); }
 
 void Leadership::applyCatalog(std::shared_ptr<const tasks::Catalog> newest)
 {
--- a/src/instance/program.cc
+++ b/src/instance/program.cc
@@ -40,8 +40,8 @@
             : settings(std::move(settings))
             , protocols(protocols)
             , loop(this->settings, protocols, this->clock, this->metrics)
-            , callers({ .address = this->settings.callerAddress, .bodyLimit = mostBody, .connectionLimit = mostCallers, .idleSeconds = callerIdleSeconds })
-            , probes({ .address = this->settings.readyAddress, .connectionLimit = mostProbes, .idleSeconds = callerIdleSeconds })
+            , callers({ .address = this->settings.callerAddress, .maxBodyBytes = mostBody, .maxConnections = mostCallers, .idleTimeoutSeconds = callerIdleSeconds })
+            , probes({ .address = this->settings.readyAddress, .maxConnections = mostProbes, .idleTimeoutSeconds = callerIdleSeconds })
         {
             this->callers.fallback([this](const http::Request& request) { return this->serve(request); });
             this->probes.route("GET", "/readyz", [this](const http::Request&) { return readiness(this->loop); });
@@ -99,7 +99,7 @@
             const http::StopReport report = this->callers.stop(std::max<Millis>(begun + plan.closedAt - this->clock.now(), 0));
             this->probes.stop(probesClosed);
             this->loop.stop();
-            logEvent(events::stopped, { { "took_ms", this->clock.now() - begun }, { "in_progress", report.inProgress }, { "cut", report.cut } });
+            logEvent(events::stopped, { { "took_ms", this->clock.now() - begun }, { "in_progress", report.inProgress }, { "cut", report.interrupted } });
         }
 
         InstanceSettings settings;
--- a/src/instance/relay.cc
+++ b/src/instance/relay.cc
@@ -48,7 +48,7 @@
     call.purpose = "callers_relayed";
     call.timeout = std::chrono::milliseconds(passed.patience);
     call.connectTimeout = connectTimeout;
-    call.resend = true;
+    call.canResend = true;
     const RequestKind kind = request.kind;
     const std::string job = request.path.substr(request.path.rfind('/') + 1);
     this->client.send(std::move(call), [this, peer, kind, job, own, handler = std::move(handler)](const http::Reply& reply) {
--- a/src/instance/relay_answer.cc
+++ b/src/instance/relay_answer.cc
@@ -28,9 +28,9 @@
 CallerAnswer answerAfterRelay(RequestKind kind, const CallerAnswer& own, const std::optional<CallerAnswer>& other, const http::Reply& reply)
 {
     if (other)
-        return reconcile(own, *other, reply.isRepeat() && kind != RequestKind::State);
+        return reconcile(own, *other, reply.wasResent() && kind != RequestKind::State);
     CallerAnswer answer = own;
-    if (reply.sent != http::Sent::Nothing && kind != RequestKind::State)
+    if (reply.sendOutcome != http::SendOutcome::NotSent && kind != RequestKind::State)
         answer.outcome = Outcome::Unknown; // The other instance may have stored it.
     return answer;
 }
--- a/src/instance/stream_reader.cc
+++ b/src/instance/stream_reader.cc
@@ -63,7 +63,7 @@
     call.purpose = "load";
     call.address = this->options.address;
     call.timeout = std::chrono::milliseconds(this->options.timeout);
-    call.timeoutWhileSilent = true;
+    call.restartTimeoutOnData = true;
     call.connectTimeout = connectLimit;
     this->callUnderWay = true;
     this->client.send(std::move(call), [this, sentAt](const http::Reply& reply) {
@@ -100,7 +100,7 @@
     call.purpose = nameOf(this->options.stream);
     call.address = this->options.address;
     call.timeout = std::chrono::milliseconds(wait + this->options.timeout);
-    call.timeoutWhileSilent = true;
+    call.restartTimeoutOnData = true;
     call.connectTimeout = connectLimit;
     (isProbe ? this->probeUnderWay : this->callUnderWay) = true;
     this->client.send(std::move(call), [this, isProbe, from, wait, sentAt](const http::Reply& reply) {
--- a/src/instance/testing/term_stream_test.cc
+++ b/src/instance/testing/term_stream_test.cc
@@ -40,7 +40,7 @@
     void aBatchThatIsLargerThanTheStoreTakesGoesInParts()
     {
         constexpr std::size_t mostTaken = 2 << 20;
-        http::Server server({ .address = "127.0.0.1:0", .bodyLimit = 64 << 20 });
+        http::Server server({ .address = "127.0.0.1:0", .maxBodyBytes = 64 << 20 });
         server.fallback([this](const http::Request& request) {
             if (request.body.size() > mostTaken)
                 return http::Answer { 413, "", "text/plain", {} };
--- a/src/platform/executor.cc
+++ b/src/platform/executor.cc
@@ -48,9 +48,9 @@
         { "content-type", "application/json" } };
     call.timeout = order.deadline;
     call.connectTimeout = std::max(order.deadline / 4, std::chrono::milliseconds(1));
-    call.replyLimit = order.replyLimit;
+    call.maxReplyBytes = order.replyLimit;
     call.once = order.once;
-    call.resend = !order.once;
+    call.canResend = !order.once;
     return detail::readReply(this->clientOf(order.address)->send(call), requestId, order.address);
 }
 
@@ -72,7 +72,7 @@
     // Executors come and go all day; their old connections must not pile up.
     if (this->clients.size() >= mostExecutors)
         this->clients.clear();
-    auto client = std::make_shared<http::Client>(http::ClientOptions { .poolSize = idleConnections, .connectionsPerHandle = 1 });
+    auto client = std::make_shared<http::Client>(http::ClientOptions { .maxIdleHandles = idleConnections, .maxConnectionsPerHandle = 1 });
     this->clients.emplace(address, client);
     return client;
 }
@@ -85,12 +85,12 @@
     // its own. The id tells whose it is, the stated length whether it is whole.
     ExecutorReply readReply(const http::Reply& reply, const std::string& requestId, const std::string& address)
     {
-        if (reply.sent == http::Sent::Nothing)
+        if (reply.sendOutcome == http::SendOutcome::NotSent)
             return without(ForwardFate::NotSent, 0, *reply.error);
         if (reply.error)
             return without(ForwardFate::Unclear, reply.status, *reply.error);
         const bool refusal = reply.status == tooManyRequests || reply.status == serviceUnavailable;
-        if (refusal && reply.isRepeat())
+        if (refusal && reply.wasResent())
             return without(ForwardFate::Unclear, reply.status, interrupted(address, "a repeat was refused; the request before it may have run"));
         const std::string answeredId = headerOf(reply, "x-request-id");
         // A refusal may come without an id, for it is given before the request is
--- a/src/platform/instance_list.cc
+++ b/src/platform/instance_list.cc
@@ -89,7 +89,7 @@
     call.address = this->address;
     call.path = this->path;
     call.timeout = this->timeout;
-    call.replyLimit = 8 << 20;
+    call.maxReplyBytes = 8 << 20;
     const std::lock_guard lock(this->mutex);
     if (!this->entityTag.empty())
         call.headers.emplace_back("If-None-Match", this->entityTag);
--- a/src/platform/log.cc
+++ b/src/platform/log.cc
@@ -67,7 +67,7 @@
     call.address = this->address;
     call.path = fmt::format("/v1/streams/{}/records?from={}&limit={}&wait_ms={}", stream, from, limit, wait.count());
     call.timeout = this->timeout + wait;
-    call.replyLimit = pageBytes;
+    call.maxReplyBytes = pageBytes;
     BOOST_LEAF_AUTO(json, detail::jsonReply(this->client.send(call), "log.read", this->address));
     return parsePage(json, this->address);
 }
--- a/src/platform/worker.cc
+++ b/src/platform/worker.cc
@@ -188,10 +188,10 @@
     call.path = "/v1/exchange";
     call.body = platform::toJson(exchange).dump(-1, ' ', false, Json::error_handler_t::replace);
     call.timeout = timeout;
-    call.resend = true;
+    call.canResend = true;
     const http::Reply reply = client.send(call);
     // Of the epochs that the worker knows of a repeat tells as well as any other.
-    if (reply.isRepeat() && !reply.error && !reply.ok() && reply.status != statusConflict)
+    if (reply.wasResent() && !reply.error && !reply.ok() && reply.status != statusConflict)
         return fail(ErrorCode::Interrupted, std::string(step), address, fmt::format("a repeat was rejected with status {}; the exchange before it may have been carried out", reply.status));
     BOOST_LEAF_AUTO(json, detail::jsonReply(reply, std::string(step), address));
     return parseReport(json, address);
--- a/src/platform/worker.h
+++ b/src/platform/worker.h
@@ -119,7 +119,7 @@
 
 private:
     static constexpr std::size_t clientCount = 16;
-    static constexpr http::ClientOptions clientOptions { .poolSize = 4, .connectionsPerHandle = 512 };
+    static constexpr http::ClientOptions clientOptions { .maxIdleHandles = 4, .maxConnectionsPerHandle = 512 };
 
     struct WorkerClient {
         http::Client client { clientOptions };
--- a/testing/relay/testing/relay_hub_test.cc
+++ b/testing/relay/testing/relay_hub_test.cc
@@ -74,13 +74,13 @@
     void brokenConnectionsCarryNoAnswer()
     {
         const http::Reply reply = this->get("/broken");
-        CPPUNIT_ASSERT(reply.sent == http::Sent::Perhaps && reply.error->code == ErrorCode::Interrupted);
+        CPPUNIT_ASSERT(reply.sendOutcome == http::SendOutcome::PossiblySent && reply.error->code == ErrorCode::Interrupted);
         CPPUNIT_ASSERT(this->get("/hello").ok());
         this->broken = 0;
         this->hub.setRule(this->link, { .delay = 20 });
         const http::Reply repeated = this->get("/broken");
-        CPPUNIT_ASSERT(repeated.ok() && repeated.isRepeat());
-        CPPUNIT_ASSERT(repeated.repeatedAfter.count() >= 20);
+        CPPUNIT_ASSERT(repeated.ok() && repeated.wasResent());
+        CPPUNIT_ASSERT(repeated.resendDelay.count() >= 20);
         CPPUNIT_ASSERT_EQUAL(2, this->broken.load());
     }
 
@@ -90,7 +90,7 @@
     void damagedAnswers()
     {
         const http::Reply dropped = this->get("/faulty/drop");
-        CPPUNIT_ASSERT(dropped.sent == http::Sent::Perhaps && dropped.body.empty());
+        CPPUNIT_ASSERT(dropped.sendOutcome == http::SendOutcome::PossiblySent && dropped.body.empty());
         const http::Reply cut = this->get("/faulty/cut");
         CPPUNIT_ASSERT(cut.error.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("he"), cut.body);
--- a/testing/standins/standin.cc
+++ b/testing/standins/standin.cc
@@ -100,7 +100,7 @@
 }
 
 Standin::Standin(RelayHub& hub, std::string listen, std::int64_t connectionLimit)
-    : server({ .address = "127.0.0.1:0", .bodyLimit = 16 << 20, .connectionLimit = connectionLimit })
+    : server({ .address = "127.0.0.1:0", .maxBodyBytes = 16 << 20, .maxConnections = connectionLimit })
     , hub(hub)
     , listen(std::move(listen))
 {
@@ -139,7 +139,7 @@
     if (list.empty())
         return true;
     http::Client client;
-    const http::Call call { .method = "PUT", .address = list, .path = "/v1/instances/" + instance.id, .body = platform::toJson(instance).dump(), .resend = true };
+    const http::Call call { .method = "PUT", .address = list, .path = "/v1/instances/" + instance.id, .body = platform::toJson(instance).dump(), .canResend = true };
     for (int i = 0; i < registrationTries; ++i) {
         if (client.send(call).ok())
             return true;
