--- a/src/records/job_record.h
+++ b/src/records/job_record.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// The records of the streams `jobs.<domain>`: what jobs exist, and how each one
-// ended. docs/DESIGN.md, "Streams in the log", gives the rules; this header
-// gives the typed form and the JSON form of each record.
+// The records of the log streams `jobs.<domain>`, which state the jobs that exist
+// and how each one ended. docs/DESIGN.md, "Streams in the log", specifies the
+// streams; this header declares the typed form of each record and its conversion
+// to and from JSON.
 //
 //     JobRecord record { .kind = JobRecordKind::Submit, .workspace = "tours", .key = "k1", .spec = spec };
 //     log.append(jobStream(domain), { toJson(record) });
@@ -17,11 +18,11 @@
 namespace rattan::records {
 
 enum class JobRecordKind {
-    Submit, // A caller wants a job; jobIdAt the record's offset becomes its id.
+    Submit, // A caller submitted a job; its id is jobIdAt() of the record's offset.
     Cancel,
-    Starting, // Says, before it happens, that a job which must not run twice starts.
-    Final, // How a job ended; the first one counts.
-    Restate, // Carries a job that has not ended past the trimming of its submit.
+    Starting, // Written before the start of a job that must not run twice.
+    Final, // How a job ended; only the first one of a job is valid.
+    Restate, // Repeats a job that has not ended, so that it survives the trimming of its Submit record.
 };
 
 std::string_view nameOf(JobRecordKind);
@@ -30,24 +31,25 @@
     Done,
     Failed,
     Cancelled,
-    Refused, // Could never run.
-    Unknown, // May have run once, and must not run again.
+    Refused, // The job can never run.
+    Unknown, // The job has possibly run once and must not run again.
 };
 
 std::string_view nameOf(JobOutcome);
 
-// Amounts are per member of the gang.
+// What a job requires. Accelerators, cores and memory are per member of the gang.
 struct JobSpec {
     std::string jobClass;
     std::int64_t members { 1 };
     std::int64_t accelerators { 1 };
     std::int64_t cores { 1 };
     std::int64_t memoryMb { 1024 };
-    std::string adjacent { "domain" }; // worker, rack or domain.
+    std::string adjacent { "domain" }; // "worker", "rack" or "domain".
     Millis declaredRunTime { 60000 };
     Json payload;
 };
 
+// One record of any kind; a comment names the kinds that use the field.
 struct JobRecord {
     JobRecordKind kind { JobRecordKind::Submit };
     std::uint64_t id { 0 }; // Starting, Final, Restate.
@@ -56,8 +58,8 @@
     Millis submitWallTime { 0 }; // Submit, Restate: when the caller submitted.
     JobSpec spec; // Submit, Restate.
     std::int64_t attempt { 0 }; // Starting, Restate.
-    std::int64_t failures { 0 }; // Starting, Restate: attempts before that failed.
-    std::string claimant; // Starting: the planner incarnation that will start it.
+    std::int64_t failures { 0 }; // Starting, Restate: number of earlier attempts that failed.
+    std::string claimant; // Starting: the planner incarnation that starts the job.
     JobOutcome outcome { JobOutcome::Done }; // Final.
     std::string reason; // Final.
     std::string result; // Final.
@@ -67,7 +69,8 @@
 inline constexpr std::int64_t maxMembers = 512;
 inline constexpr std::int64_t maxAcceleratorsPerMember = 64;
 
-// Ids start at 1: a 0 in a message means that no job is meant.
+// The id of the job submitted at this offset. Ids start at 1, because 0 in a message
+// stands for no job.
 inline std::uint64_t jobIdAt(std::uint64_t submitOffset) { return submitOffset + 1; }
 
 std::string jobStream(const std::string& domain);
