--- a/src/http/answer.cc
+++ b/src/http/answer.cc
@@ -20,7 +20,7 @@
 
 Answer jsonAnswer(int status, const Json& json)
 {
-    // Bytes that are not UTF-8 come from callers; they are replaced, not thrown on.
+    // Callers can send bytes that are not UTF-8; these are replaced instead of throwing.
     return { status, json.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n", "application/json", {} };
 }
 
--- a/src/http/answer.h
+++ b/src/http/answer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What an HTTP handler takes and gives back.
+// The request that an HTTP handler receives, and the answer that it returns.
 
 #include "base/error.h"
 #include "base/json.h"
@@ -16,11 +16,11 @@
     std::string method;
     std::string path;
     std::string body;
-    std::string peer; // IP number of the caller.
+    std::string peer; // IP address of the caller.
     std::map<std::string, std::string> headers; // Names in lower case.
-    std::map<std::string, std::string> parameters; // From the route and the query.
+    std::map<std::string, std::string> parameters; // From the path, by the names in the route pattern, and from the query.
 
-    // Empty when absent.
+    // The value of the header or parameter, or empty if it is absent.
     std::string header(const std::string& lowerCaseName) const;
     std::string parameter(const std::string& name) const;
 };
@@ -34,8 +34,9 @@
 
 Answer jsonAnswer(int status, const Json&);
 
-// {"error":{"code","message","step","peer"}} with the status that fits the
-// code, and Retry-After in whole seconds, rounded up, where one is set.
+// An answer with the body {"error":{"code","message","step","peer"}} and the status of
+// the code. If Error::retryAfter is set, the answer has the header Retry-After, in whole
+// seconds, rounded up.
 Answer errorAnswer(const Error&);
 
 int statusOf(ErrorCode);
--- a/src/http/async_client.cc
+++ b/src/http/async_client.cc
@@ -1,14 +1,13 @@
-// All transfers hang on one libcurl multi handle: a thread for each long poll
-// would cost a stack and a wake-up for each of the hundreds of peers. libcurl says
-// which sockets it waits for, and epoll tells which of them have something; only
-// those are handed back to it. So an answer costs the same beside ten waiting calls
-// and beside three thousand, where curl_multi_perform() would ask the kernel about
-// every one of them.
+// All transfers share one libcurl multi handle: a thread per long poll would cost a
+// stack and a wake-up for each of hundreds of peers. libcurl reports the sockets that it
+// waits for, epoll reports which of them are ready, and only these are passed back to
+// libcurl. The cost of an answer is therefore the same with ten pending calls as with
+// three thousand, whereas curl_multi_perform() would query the kernel about every socket.
 //
-// Time limits are kept here and not by libcurl, which looks at the time before it
-// looks at the socket: once its thread has stood still for longer than a timeout, it
-// ends the call although the answer lies there to be read. A call is given up only
-// after a pass that began past its limit and read every socket that was ready.
+// Timeouts are handled here and not by libcurl, which checks the time before it reads the
+// socket: if its thread is suspended for longer than a timeout, libcurl ends the call
+// although the answer can already be read. Here a call times out only after a pass that
+// started after its deadline and handled every socket that was ready.
 
 #include "http/async_client.h"
 
@@ -29,34 +28,35 @@
 
     using SteadyClock = std::chrono::steady_clock;
 
-    constexpr std::size_t maxIdleHandles = 64; // Kept for reuse; about 6 KB each.
-    constexpr long receiveBufferBytes = 8192; // libcurl's default of 16 KB is more than most answers need.
+    constexpr std::size_t maxIdleHandles = 64; // About 6 KB each.
+    constexpr long receiveBufferBytes = 8192; // Most answers need less than libcurl's default of 16 KB.
 
-    // Sockets handled before the caller has its turn again: about 4 ms of answers, so
-    // that a thousand that arrive at once do not hold up what the caller must do.
+    // Sockets handled per call of run(), about 4 ms of answers, so that a thousand
+    // answers that arrive at once do not delay the caller's other work.
     constexpr std::size_t maxEventsPerPass = 64;
 
-    // libcurl's own limits, beyond any of ours.
+    // Timeout given to libcurl, longer than any timeout of a call.
     constexpr long noTimeoutMillis = 24L * 3600 * 1000;
 
-    // Calls past their limit end although every pass for so long has left ready sockets
-    // to the next one: else nothing would end while this thread cannot keep up with
-    // what arrives.
+    // A call times out this long after its deadline even if every pass since then has left
+    // ready sockets unhandled. Without this bound no call would time out while this thread
+    // cannot keep up with the arriving answers.
     constexpr Millis maxExpiryDelay = 500;
 
     struct PendingCall {
         detail::Transfer transfer;
         AsyncClient::Handler handler;
         int group { 0 };
-        Millis sendDeadline { 0 }; // Some of the request has to be sent by then,
-        Millis answerDeadline { 0 }; // and all of the answer read by then.
-        Millis listedDeadline { 0 }; // Its place in the list of limits.
-        std::uint64_t bytesAtExtension { 0 }; // Received when its limit was last put off.
+        Millis sendDeadline { 0 }; // The first byte of the request must be sent by then.
+        Millis answerDeadline { 0 }; // The complete answer must be received by then.
+        Millis listedDeadline { 0 }; // The key of this call in Native::deadlines.
+        std::uint64_t bytesAtExtension { 0 }; // Bytes received when the deadline was last extended.
 
-        // The next of the two that can end this call.
+        // The earlier of the deadlines that apply; sendDeadline applies until a byte is sent.
         Millis deadline() const { return this->transfer.hasSentBytes ? this->answerDeadline : std::min(this->sendDeadline, this->answerDeadline); }
 
-        // Puts the limit off where bytes have come since that was last done.
+        // Extends the answer deadline if bytes were received since the last extension and the
+        // call has restartTimeoutOnData.
         void extendDeadline(Millis now)
         {
             if (!this->transfer.call.restartTimeoutOnData || this->transfer.bytesReceived == this->bytesAtExtension)
@@ -79,12 +79,12 @@
     int epollDescriptor { -1 };
     int wakeDescriptor { -1 };
     bool isTimerSet { false };
-    SteadyClock::time_point timerDeadline; // When libcurl wants to be called although no socket is ready.
+    SteadyClock::time_point timerDeadline; // When to call libcurl even if no socket is ready.
     std::unordered_map<CURL*, std::unique_ptr<PendingCall>> pendingCalls;
-    std::set<std::pair<Millis, CURL*>> deadlines; // When to look at each pending call; may be before its present limit.
+    std::set<std::pair<Millis, CURL*>> deadlines; // When to check each pending call; can be earlier than its current deadline.
     std::vector<CURL*> idleHandles;
     std::map<std::string_view, Traffic> traffic;
-    std::optional<Millis> backlogSince; // Since when no pass has read all that was ready.
+    std::optional<Millis> backlogSince; // Start of the current sequence of passes that leave ready sockets unhandled.
 
     static int onSocket(CURL*, curl_socket_t socket, int socketEvents, void* user, void* socketData)
     {
@@ -97,7 +97,7 @@
         event.data.fd = socket;
         event.events = ((socketEvents & CURL_POLL_IN) != 0 ? EPOLLIN : 0U) | ((socketEvents & CURL_POLL_OUT) != 0 ? EPOLLOUT : 0U);
         if (epoll_ctl(native->epollDescriptor, socketData ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, socket, &event) != 0)
-            epoll_ctl(native->epollDescriptor, socketData ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, socket, &event); // libcurl closed and reopened it meanwhile.
+            epoll_ctl(native->epollDescriptor, socketData ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, socket, &event); // libcurl has closed and reopened the socket in between.
         curl_multi_assign(native->multi, socket, native);
         return 0;
     }
@@ -168,8 +168,8 @@
         return std::max(remaining, std::chrono::milliseconds(0));
     }
 
-    // Waits for sockets, and lets libcurl work on those that are ready. True if it worked
-    // on all of them.
+    // Waits for sockets and passes the ready ones to libcurl. Returns true if all ready
+    // sockets were handled.
     bool handleSockets(std::chrono::milliseconds maxWait)
     {
         std::array<epoll_event, maxEventsPerPass> events {};
@@ -178,7 +178,7 @@
             const epoll_event& event = events[static_cast<std::size_t>(i)];
             if (event.data.fd == this->wakeDescriptor) {
                 std::uint64_t count = 0;
-                static_cast<void>(read(this->wakeDescriptor, &count, sizeof(count))); // Only to make it wait again.
+                static_cast<void>(read(this->wakeDescriptor, &count, sizeof(count))); // Resets the event, so that the next epoll_wait() blocks.
                 continue;
             }
             int socketEvents = 0;
@@ -194,7 +194,7 @@
         return readyCount < static_cast<int>(events.size());
     }
 
-    // True if an answer was handled.
+    // Completes the calls that libcurl has finished. Returns true if there was any.
     bool completeAll()
     {
         int remaining = 0;
@@ -208,8 +208,8 @@
         return anyCompleted;
     }
 
-    // Ends calls that were past their limit at `now`; `readAll` tells whether every
-    // answer that had arrived by then was read.
+    // Times out the calls whose deadline had passed at `now`; `allRead` says whether every
+    // answer that had arrived by then has been read.
     void expireCalls(Millis now, bool allRead)
     {
         if (allRead)
@@ -306,15 +306,16 @@
     const bool allRead = this->native->handleSockets(anyCompleted ? std::chrono::milliseconds(0) : this->native->maxPollTime(maxWait));
     this->native->handleTimer();
     this->native->completeAll();
-    // What had arrived at `now` has been read. A starved or frozen thread would otherwise
-    // take workers that answered for silent ones, and stop whole gangs for them.
+    // Answers that had arrived at `now` have been read before calls time out. Otherwise a
+    // starved or suspended thread would treat workers that have answered as silent, and
+    // stop whole gangs because of them.
     this->native->expireCalls(now, allRead);
 }
 
 void AsyncClient::wake()
 {
     const std::uint64_t one = 1;
-    static_cast<void>(write(this->native->wakeDescriptor, &one, sizeof(one))); // Fails only if it has been woken already.
+    static_cast<void>(write(this->native->wakeDescriptor, &one, sizeof(one))); // Fails only if a wake-up is already pending.
 }
 
 void AsyncClient::cancelGroup(int group)
--- a/src/http/async_client.h
+++ b/src/http/async_client.h
@@ -1,18 +1,18 @@
 #pragma once
 
-// An HTTP/1.1 client for one thread with many calls under way at once.
+// An HTTP/1.1 client that runs many calls concurrently on one thread.
 //
-//     http::AsyncClient client({ .connectionsPerPeer = 3 }, clock);
+//     http::AsyncClient client({ .maxConnectionsPerPeer = 3 }, clock);
 //     client.send(call, [&](const http::Reply& reply) { ... });
 //     while (running)
-//         client.run(100ms);       // waits for answers and calls their handlers
+//         client.run(100ms);       // waits for answers and calls the handlers
 //
-// Handlers run inside run() and may send further calls. Every call ends in
-// exactly one handler call, soon after its timeout at the latest, unless abandon()
-// drops it. An answer that has arrived is never taken for a timeout, however late
-// run() comes to read it. A reused connection that turns out dead is replaced and the request
-// sent again by libcurl if it has no body or its `resend` is true; Reply::isRepeat() tells.
-// Only wake() may be called from another thread.
+// Handlers run inside run() and can send further calls. The handler of a call is called
+// exactly once, soon after the timeout at the latest, unless cancelGroup() cancels the
+// call. An answer that has arrived is never reported as a timeout, however late run()
+// reads it. If a reused connection turns out to be dead, libcurl opens a new one and
+// resends the request, provided that it has no body or its `canResend` is true;
+// Reply::wasResent() reports this. Only wake() is safe to call from another thread.
 
 #include "base/clock.h"
 #include "http/client.h"
@@ -26,14 +26,14 @@
 namespace rattan::http {
 
 struct AsyncClientOptions {
-    long maxConnectionsPerPeer { 3 }; // Further calls to the same peer wait their turn.
-    long maxIdleConnections { 1500 }; // Idle ones, over all peers: three to each of 500 workers.
+    long maxConnectionsPerPeer { 3 }; // Further calls to the same peer are queued.
+    long maxIdleConnections { 1500 }; // Of all peers together: three for each of 500 workers.
 };
 
-// What calls of one purpose have moved since the client was made.
+// Totals of the calls of one purpose since the client was created.
 struct Traffic {
-    std::uint64_t calls { 0 }; // That have ended, one way or the other.
-    std::uint64_t connections { 0 }; // Opened for them.
+    std::uint64_t calls { 0 }; // Calls that ended: answered, failed or cancelled.
+    std::uint64_t connections { 0 }; // Connections opened for these calls.
     std::uint64_t bytesSent { 0 };
     std::uint64_t bytesReceived { 0 };
 };
@@ -42,30 +42,31 @@
 public:
     using Handler = std::function<void(const Reply&)>;
 
-    // The clock, which outlives the client, tells when a call has waited too long.
+    // Timeouts are measured with the clock, which must outlive the client.
     AsyncClient(AsyncClientOptions, const Clock&);
     ~AsyncClient();
     AsyncClient(const AsyncClient&) = delete;
     AsyncClient& operator=(const AsyncClient&) = delete;
 
+    // Starts the call; the handler is called by run().
     void send(Call, Handler);
 
-    // Waits at most this long for something to happen, then handles it.
+    // Waits up to maxWait for events, then handles them.
     void run(std::chrono::milliseconds maxWait);
 
-    // Ends a wait in run(), from any thread.
+    // Ends the wait in run(). Thread-safe.
     void wake();
 
-    // Breaks off every call whose `group` is this, without calling its handler.
-    // What was already sent may still be acted on by the peer.
+    // Cancels every call of the group without calling its handler. The peer can still act
+    // on a request that was already sent.
     void cancelGroup(int group);
 
-    // The group given to the calls sent from now on; returns the one before.
+    // Sets the group of the calls sent from now on; returns the previous group.
     int setGroup(int group) { return std::exchange(this->group, group); }
 
     std::size_t callsInFlight() const;
 
-    // By the purpose that calls name.
+    // The totals of each Call::purpose.
     const std::map<std::string_view, Traffic>& traffic() const;
 
 private:
@@ -75,7 +76,7 @@
     std::unique_ptr<Native> native;
 };
 
-// While it lives, the calls that are sent are of a group.
+// Assigns the calls sent during its lifetime to a group.
 class ScopedCallGroup {
 public:
     ScopedCallGroup(AsyncClient& client, int group)
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,19 +1,19 @@
 #pragma once
 
-// An HTTP/1.1 client on libcurl.
+// A blocking HTTP/1.1 client based on libcurl.
 //
-//     http::Client client({ .poolSize = 16 });
+//     http::Client client({ .maxIdleHandles = 16 });
 //     http::Call call { .method = "POST", .address = "127.0.0.1:9000", .path = "/v1/exchange", .body = text };
 //     call.timeout = std::chrono::milliseconds(500);
 //     const http::Reply reply = client.send(call);
-//     if (reply.error) ...            // what failed, and reply.sent tells how far the request got
+//     if (reply.error) ...            // reply.sendOutcome says whether the peer can have acted
 //
-// libcurl itself is used, and not the client that ulfius builds on it, because
-// that one does not tell whether a byte of a request left this process; the
-// at-most-once rule needs to know. A connection is reused only after its answer
-// was read whole; a call marked `once` always has a connection of its own, for
-// libcurl silently sends a request again when a reused connection turns out
-// dead. Redirects and proxies are never followed. Thread-safe; a call blocks.
+// The client uses libcurl directly instead of the client of ulfius, which does not
+// report whether any byte of a request left this process; at-most-once execution
+// depends on this. A connection is reused only after its answer has been read
+// completely. A call with `once` always uses a new connection, because libcurl
+// silently resends a request if a reused connection turns out to be dead. Redirects
+// are not followed and proxies are not used. Thread-safe; a call blocks.
 
 #include "base/error.h"
 
@@ -30,6 +30,7 @@
 
 namespace rattan::http {
 
+// A request and the options for sending it.
 struct Call {
     std::string method { "GET" };
     std::string address; // IP:PORT
@@ -38,40 +39,45 @@
     std::vector<std::pair<std::string, std::string>> headers;
     std::chrono::milliseconds timeout { 2000 };
     std::chrono::milliseconds connectTimeout { 500 };
-    std::size_t maxReplyBytes { 4 << 20 }; // Bytes; a longer answer is an error.
-    bool once { false }; // Never sent twice, whatever happens.
-    // May be sent again when a kept connection turns out dead; what has no body always may.
-    // Only where the reader of the reply heeds Reply::isRepeat().
+    std::size_t maxReplyBytes { 4 << 20 }; // A longer body of the answer is an error.
+    bool once { false }; // The request is never sent twice, even if its connection breaks.
+    // Whether libcurl can resend the request if a reused connection turns out to be dead;
+    // it always can if the request has no body. Set this only if the code that reads the
+    // reply checks Reply::wasResent().
     bool canResend { false };
-    // The timeout counts from the last byte that came, for answers that a narrow link takes
-    // long to carry; heeded by AsyncClient only.
+    // Whether the timeout restarts whenever bytes are received, for answers that take long
+    // to transfer over a slow link. Only AsyncClient supports this.
     bool restartTimeoutOnData { false };
-    std::string_view purpose { "other" }; // What its traffic is counted under; a constant.
+    std::string_view purpose { "other" }; // Key of the traffic counters; must be a string constant.
 };
 
+// Whether the request was sent and answered.
 enum class SendOutcome {
-    NotSent, // No byte of the request left: the peer cannot have acted.
-    PossiblySent, // Some or all of it left, and no whole answer came.
-    Answered, // A whole answer was read.
+    NotSent, // No byte of the request was sent: the peer cannot have acted.
+    PossiblySent, // Part or all of the request was sent, and no complete answer was received.
+    Answered, // A complete answer was received.
 };
 
+// The answer to a call, or the error that prevented it.
 struct Reply {
     SendOutcome sendOutcome { SendOutcome::NotSent };
-    int transmissions { 0 }; // How often the request was sent, the repeats by libcurl included.
-    std::chrono::milliseconds resendDelay { 0 }; // From the first transmission to the last.
+    int transmissions { 0 }; // How often the request was sent, including resends by libcurl.
+    std::chrono::milliseconds resendDelay { 0 }; // Time from the first to the last transmission.
     int status { 0 };
     std::string body;
     std::map<std::string, std::string> headers; // Names in lower case.
-    std::optional<Error> error; // Set unless sent is Answered.
+    std::optional<Error> error; // Set unless sendOutcome is Answered.
 
-    // An earlier transmission may have been acted on: a rejection speaks for the last one only.
+    // Whether the request was sent more than once. If so, the peer has possibly acted on an
+    // earlier transmission: a rejection applies only to the last one.
     bool wasResent() const { return this->transmissions > 1; }
 
+    // Whether a complete answer with a status of 200 to 299 was received.
     bool ok() const { return !this->error && this->status >= 200 && this->status < 300; }
 };
 
 struct ClientOptions {
-    std::size_t maxIdleHandles { 32 }; // Idle handles kept, each with its connections.
+    std::size_t maxIdleHandles { 32 }; // Idle libcurl handles kept for reuse, each with its own connections.
     long maxConnectionsPerHandle { 4 };
 };
 
--- a/src/http/open_connections.h
+++ b/src/http/open_connections.h
@@ -1,20 +1,20 @@
 #pragma once
 
-// The connections of a server, and how far each one's request has got, so that a stop
-// ends each of them between two requests.
+// The open connections of a server and the stage of the request on each of them, so that
+// a stopping server closes each connection between two requests.
 //
 //     OpenConnections connections;
-//     OpenConnection& connection = connections.opened(socket);
-//     connections.began(connection);      // a request line was read
-//     connections.tookOver(connection);   // the request was read whole, and is answered
-//     connections.finished(connection);   // the answer was written, or never will be
-//     connections.closing(connection);    // before its socket is closed
-//     connections.end();                  // each is closed once nothing is in progress on it
-//     connections.waitUntilNone(limit);
+//     OpenConnection& connection = connections.add(socket);
+//     connections.markRequestStarted(connection);   // the request line was read
+//     connections.markRequestRead(connection);      // the complete request was read
+//     connections.markRequestFinished(connection);  // the answer was written, or the request failed
+//     connections.remove(connection);               // before its socket is closed
+//     connections.closeWhenIdle();                  // closes each connection without a request
+//     connections.waitUntilEmpty(limit);
 //
-// What ends a connection is that nothing more can be read from it: a request that has
-// arrived by then is still read and answered, and one that arrives later is not read
-// at all, which its caller can tell from one that was cut. Thread-safe.
+// A connection is closed by shutting down its read side: a request that has arrived by
+// then is still read and answered, and a later request is not read at all. Its caller can
+// distinguish this from a request that was interrupted. Thread-safe.
 
 #include "base/clock.h"
 
@@ -44,21 +44,21 @@
     void markRequestFinished(OpenConnection&);
     void remove(OpenConnection&);
 
-    // Ends what is idle now, and each other connection with its request.
+    // Shuts down the idle connections now, and every other one when its request ends.
     void closeWhenIdle();
 
-    // False if some are open after so many milliseconds.
+    // Waits until all connections are removed; returns false after `limit`.
     bool waitUntilEmpty(Millis limit);
 
-    std::int64_t requestsInProgress() const; // Requests of which a part was read.
-    std::int64_t requestsBeingAnswered() const; // Requests that were read whole.
+    std::int64_t requestsInProgress() const; // Requests that were read at least in part.
+    std::int64_t requestsBeingAnswered() const; // Requests that were read completely.
 
 private:
     std::int64_t count(RequestStage minStage) const;
 
     mutable std::mutex mutex;
     std::condition_variable changed;
-    std::list<OpenConnection> connections; // As many as the server lets in.
+    std::list<OpenConnection> connections; // Bounded by the connection limit of the server.
     bool isClosing { false };
 };
 
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -1,7 +1,7 @@
-// ulfius would start its own daemon with a thread per connection and no bound
-// on their number; this starts it with options that bound both threads and
-// their stacks. Every route is registered for all methods, so that a wrong
-// method is told apart from a wrong path.
+// By default, ulfius starts its daemon with a thread per connection and without a limit
+// on their number; here it is started with options that limit the number of threads and
+// the size of their stacks. Every route is registered for all methods, so that a wrong
+// method can be distinguished from a wrong path.
 
 #include "http/server.h"
 
@@ -72,7 +72,7 @@
 
     void writeAnswer(const Answer& answer, _u_response* to)
     {
-        // ulfius takes no empty body and then leaves the status at 200.
+        // ulfius rejects an empty body and then leaves the status at 200.
         if (!answer.body.empty())
             ulfius_set_binary_body_response(to, static_cast<unsigned>(answer.status), answer.body.data(), answer.body.size());
         to->status = answer.status;
@@ -81,7 +81,8 @@
             u_map_put(to->map_header, name.c_str(), value.c_str());
     }
 
-    // ulfius does not hand the connection on; one thread serves one connection.
+    // The connection served by this thread. ulfius does not pass the connection to its
+    // callbacks, but each connection has its own thread.
     thread_local OpenConnection* threadConnection = nullptr;
 
     int onRequest(const _u_request* from, _u_response* to, void* data)
@@ -120,8 +121,8 @@
             connectionsOf(data).remove(*static_cast<OpenConnection*>(*context));
     }
 
-    // libmicrohttpd pairs these two: the first when a request line is read, the
-    // second when the answer is written or the connection is gone.
+    // libmicrohttpd calls onRequestStarted when a request line was read, and later
+    // onRequestFinished when the answer was written or the connection was closed.
     void* onRequestStarted(void* data, const char* uri, MHD_Connection* connection)
     {
         threadConnection = &connectionOf(connection);
@@ -135,7 +136,7 @@
         connectionsOf(data).markRequestFinished(connectionOf(connection));
     }
 
-    // A port that was free a moment ago; start() tries again if somebody was faster.
+    // Returns a port that is currently free; start() retries if another process binds it first.
     std::uint16_t freePort(const sockaddr_in& address)
     {
         const int descriptor = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -156,7 +157,7 @@
     _u_instance instance {};
     std::vector<std::unique_ptr<Endpoint>> endpoints;
     bool running { false };
-    std::optional<OpenConnections> connections; // Since the last start.
+    std::optional<OpenConnections> connections; // Created by start().
 };
 
 Server::Server(ServerOptions options)
@@ -232,9 +233,9 @@
         return report;
     this->native->running = false;
     this->drain();
-    // Stopping the daemon closes every connection, also one whose request is just being
-    // read or answered. So the listening socket goes first, then each connection once it
-    // is idle, and the daemon closes only what is left at the limit.
+    // Stopping the daemon closes every connection, even one whose request is being read or
+    // answered. Therefore the listening socket is closed first, then each connection when
+    // it is idle, and the daemon closes only the connections left at the limit.
     const MHD_socket listeningSocket = MHD_quiesce_daemon(this->native->instance.mhd_daemon);
     if (listeningSocket != MHD_INVALID_SOCKET)
         close(listeningSocket);
--- a/src/http/testing/async_client_test.cc
+++ b/src/http/testing/async_client_test.cc
@@ -26,7 +26,7 @@
     using testing::DroppingPeer;
     using testing::listenOnLoopback;
 
-    // Takes connections and never answers.
+    // Accepts connections and never answers.
     class SilentPeer {
     public:
         explicit SilentPeer(int backlog = 1000)
@@ -45,7 +45,7 @@
         int port { 0 };
     };
 
-    // Takes connections, reads a request on each, and answers all of them when told to.
+    // Accepts connections, reads a request on each, and answers all of them on demand.
     class HoldingPeer {
     public:
         HoldingPeer()
@@ -65,7 +65,8 @@
 
         std::string address() const { return fmt::format("127.0.0.1:{}", this->port); }
 
-        // Takes what has come; the number of requests so far.
+        // Accepts connections and reads requests that have arrived. Returns the number of
+        // requests so far.
         std::size_t readRequests()
         {
             for (int connection = accept4(this->listener, nullptr, nullptr, SOCK_NONBLOCK); connection >= 0; connection = accept4(this->listener, nullptr, nullptr, SOCK_NONBLOCK))
@@ -76,10 +77,10 @@
             return this->requests;
         }
 
-        // Returns once every answer lies at the client's socket.
+        // Returns when the client's socket has received every answer.
         void answerAllRequests() { this->sendAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"); }
 
-        // Part of an answer, on every connection.
+        // Sends an answer or a part of one on every connection, and returns when it has arrived.
         void sendAll(const std::string& answer)
         {
             for (const int connection : this->connections) {
@@ -141,8 +142,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("hello"), reply.body);
     }
 
-    // Guards against a load over a narrow link that is given up and begun anew for ever,
-    // because the whole of it takes longer than an answer usually does.
+    // Guards against a large answer over a slow link that times out and is requested again
+    // forever, because its transfer takes longer than the timeout.
     void slowAnswerDoesNotTimeOut()
     {
         this->useManualClock();
@@ -170,7 +171,8 @@
         CPPUNIT_ASSERT(totalTimeoutReply && totalTimeoutReply->error->code == ErrorCode::Timeout);
     }
 
-    // Calls time out on a machine whose link is full, and nobody can say what fills it.
+    // Calls time out on a machine whose link is saturated. Without these counters, the traffic
+    // that saturates it cannot be determined.
     void trafficIsCountedByPurpose()
     {
         const std::string body(1000, 'x');
@@ -208,8 +210,8 @@
         CPPUNIT_ASSERT(second->ok());
     }
 
-    // A peer takes the request and is cut off before it answers. Without an end of
-    // the wait, nobody would ever hear what became of the call.
+    // A peer receives the request and loses its network connection before it answers. Without
+    // the timeout, the call would never end.
     void silentPeerTimesOut()
     {
         const SilentPeer silent;
@@ -219,10 +221,10 @@
         CPPUNIT_ASSERT(reply.error->code == ErrorCode::Timeout);
     }
 
-    // A machine without processor time, or frozen, comes back to its calls when their time
-    // is over, and every answer lies there. A planner that takes them for lost stops the
-    // gangs whose starts were answered: their callers wait seconds for a second start.
-    // There are more of them here than one pass of the client reads.
+    // A starved or suspended machine resumes after the timeouts of its calls, when every
+    // answer has already arrived. Guards against reporting these calls as failed: the planner
+    // would stop gangs whose starts were answered, and their callers would wait seconds for
+    // a second start. There are more answers here than one pass of the client reads.
     void receivedAnswersDoNotTimeOut()
     {
         HoldingPeer peer;
@@ -239,8 +241,8 @@
         CPPUNIT_ASSERT_EQUAL(calls, answered);
     }
 
-    // More answers come all the time than are read in one pass. A peer that is silent must
-    // be noticed all the same, if a little later than it would be.
+    // Every pass leaves arrived answers unread. Guards against calls to a silent peer that
+    // never time out in this state; they time out somewhat later than usual.
     void silentPeerTimesOutUnderLoad()
     {
         const SilentPeer silent;
@@ -263,13 +265,13 @@
         CPPUNIT_ASSERT(answered < calls);
     }
 
-    // A machine without power answers no connection attempt. Nothing was sent, and the
-    // caller may safely ask another.
+    // A machine without power does not answer connection attempts. The call must report that
+    // nothing was sent, so that the caller can safely send the request to another peer.
     void connectTimeoutSendsNothing()
     {
         const SilentPeer saturated(0);
         this->useManualClock();
-        constexpr std::size_t calls = 20; // Far more than the queue of new connections takes.
+        constexpr std::size_t calls = 20; // Far more than the accept queue holds.
         std::size_t notSentCount = 0;
         std::size_t sent = 0;
         for (std::size_t i = 0; i < calls; ++i)
@@ -289,8 +291,8 @@
         CPPUNIT_ASSERT(reply.error->code == ErrorCode::Unavailable);
     }
 
-    // The peer restarts between two calls. The connection that was kept is dead, and
-    // the second call must not fail because of it.
+    // The peer restarts between two calls, so the idle connection is dead. The second call must
+    // not fail because of this.
     void deadConnectionIsReplaced()
     {
         const std::string address = this->server->address();
@@ -300,9 +302,9 @@
         CPPUNIT_ASSERT(this->call({ .address = address, .path = "/echo" }).ok());
     }
 
-    // A worker crashes with a call waiting at it and is back at once. Sent again by
-    // itself, the call would tell the worker's next life what was meant for the
-    // earlier one, and its sender would never know.
+    // A worker crashes with a pending call and restarts at once. If libcurl resent the request,
+    // the new incarnation of the worker would receive a request meant for the earlier one, and
+    // its sender would not notice.
     void callWithoutResendFailsOnDeadConnection()
     {
         const DroppingPeer peer;
@@ -314,8 +316,9 @@
         CPPUNIT_ASSERT_EQUAL(2, peer.requests());
     }
 
-    // A rejection of a repeat was taken for the outcome of the call, for libcurl had written
-    // the path in another way than its sender. What has no body is repeated unasked.
+    // Guards against missing a resend because libcurl writes the path differently from its
+    // sender: the rejection of the resent request would be treated as the outcome of the call.
+    // libcurl always resends requests without a body.
     void transmissionsAreCounted()
     {
         for (const char* path : { "/", "/a/./b", "/a/../b", "/a?b=/./", "/a#b" }) {
@@ -334,8 +337,8 @@
         }
     }
 
-    // A planner that lost its term drops what it still waits for; an answer that
-    // comes later must not reach what is gone.
+    // A planner that lost its term cancels its pending calls. Guards against a later answer that
+    // calls a handler of the destroyed planner.
     void cancelledCallsDoNotCallHandler()
     {
         const SilentPeer silent;
@@ -361,14 +364,14 @@
         CPPUNIT_ASSERT(std::chrono::steady_clock::now() - startedAt < maxWait);
     }
 
-    // Every busy worker has a look waiting for its next end. With 3,000 of them, a
-    // planner that asks about each socket at each answer spends all its time on that,
-    // cannot renew its term, and no job starts any more.
+    // Every busy worker has a pending long poll. Guards against checking every socket at each
+    // answer: with 3,000 workers a planner spends all its time on that, cannot renew its term,
+    // and starts no jobs.
     void pendingCallsDoNotSlowOthers()
     {
         constexpr int fewPending = 10;
         constexpr int manyPending = 400;
-        constexpr double maxRatio = 4; // Measured 1.2; 12 where every socket is asked about.
+        constexpr double maxRatio = 4; // The ratio is 1.2, and 12 if every socket is checked at each answer.
         const double cpuWithFew = this->cpuSecondsWithPending(fewPending);
         const double cpuWithMany = this->cpuSecondsWithPending(manyPending);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{:.1f} ms beside {}, {:.1f} ms beside {}", cpuWithFew * 1000, fewPending, cpuWithMany * 1000, manyPending), cpuWithMany < cpuWithFew * maxRatio);
@@ -402,7 +405,7 @@
         return *result;
     }
 
-    // Processor time of calls that are answered while so many others wait.
+    // Processor time of answered calls while the given number of calls is pending.
     double cpuSecondsWithPending(int pendingCalls)
     {
         const SilentPeer silent;
--- a/src/http/testing/client_test.cc
+++ b/src/http/testing/client_test.cc
@@ -61,8 +61,8 @@
         CPPUNIT_ASSERT(reply.error->code == ErrorCode::Unavailable);
     }
 
-    // A list that has not changed is answered 304 with no body. ulfius turned it
-    // into 200, and its readers took an empty body for a broken list.
+    // An unchanged list is answered with 304 and no body. Guards against ulfius turning the
+    // status into 200, for which readers treat the empty body as an invalid list.
     void emptyBodyKeepsStatus() { CPPUNIT_ASSERT_EQUAL(304, this->send({ .path = "/empty" }).status); }
 
     void throwingHandlerReturns500() { CPPUNIT_ASSERT_EQUAL(500, this->send({ .path = "/throw" }).status); }
--- a/src/http/testing/dropping_peer.h
+++ b/src/http/testing/dropping_peer.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// A server that answers the first request on each connection, and breaks the connection
-// once it has read the second one whole: that one was carried out, for all the client knows.
+// A server that answers the first request on each connection, and closes the connection
+// without an answer after it has read the second one completely: the client cannot know
+// whether that request was executed.
 
 #include <algorithm>
 #include <arpa/inet.h>
@@ -39,7 +40,7 @@
 
 class DroppingPeer {
 public:
-    // One for each connection; the last one for all further ones.
+    // Each connection gets the next answer; the last answer is used for all further ones.
     explicit DroppingPeer(std::vector<PeerAnswer> answers = { {} })
         : answers(std::move(answers))
         , listener(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
--- a/src/http/testing/open_connections_test.cc
+++ b/src/http/testing/open_connections_test.cc
@@ -29,8 +29,8 @@
         }
     }
 
-    // A connection ended too soon cuts the rest of a request, one that is forgotten takes
-    // requests until the process is gone.
+    // A connection that is closed too early truncates its request; one that is not closed at
+    // all accepts requests until the process ends.
     void connectionClosesWhenItsRequestEnds()
     {
         OpenConnections connections;
--- a/src/http/testing/raw_caller.h
+++ b/src/http/testing/raw_caller.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A caller with one connection, on which nothing is ever sent a second time: each
-// request is answered, or its connection ends.
+// A caller with one connection that never resends a request: each request is answered, or
+// the connection is closed.
 
 #include <arpa/inet.h>
 #include <array>
@@ -34,10 +34,10 @@
 
     void get(const std::string& path) const { this->send("GET " + path + " HTTP/1.1\r\nHost: test\r\n\r\n"); }
 
-    // No request comes after those sent by now.
+    // Shuts down the sending side: no further request follows.
     void endSending() const { shutdown(this->socket, SHUT_WR); }
 
-    // Reads one whole answer; its status, or 0 if the connection ended before.
+    // Reads one complete answer. Returns its status, or 0 if the connection is closed first.
     int readAnswer()
     {
         const std::string end = "\r\n\r\n";
--- a/src/http/testing/server_test.cc
+++ b/src/http/testing/server_test.cc
@@ -26,8 +26,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // A planned stop comes while a handler works. The caller whose hold was just
-    // made would see its connection cut and could not know whether it has seats.
+    // The server is stopped while a handler runs. Guards against closing the connection
+    // before the answer: the caller whose hold was just made could not know whether it has
+    // seats.
     void stopAnswersRequestsInProgress()
     {
         std::promise<void> entered;
@@ -44,15 +45,15 @@
         auto reply = std::async(std::launch::async, [&] { return client.send({ .address = address, .path = "/slow" }); });
         entered.get_future().wait();
         auto stopped = std::async(std::launch::async, [&] { server.stop(); });
-        // Once nobody is let in any more, the stop is under way.
+        // The stop has begun when new connections are refused.
         while (client.send({ .address = address, .path = "/nowhere", .once = true }).sendOutcome == SendOutcome::Answered) { }
         answerAllowed.set_value();
         CPPUNIT_ASSERT_EQUAL(std::size_t { 200000 }, reply.get().body.size());
         stopped.get();
     }
 
-    // Callers keep their connections and always have a request in progress, so the stop
-    // never finds a moment without one.
+    // Callers reuse their connections and always have a request in progress, so the stop
+    // never finds all connections idle at the same time.
     void stopAnswersEveryRequestOfBusyConnections()
     {
         std::mutex mutex;
@@ -92,7 +93,7 @@
         CPPUNIT_ASSERT_EQUAL(started, answered);
     }
 
-    // A body comes slowly, and its head was read before the stop.
+    // The header of a request is read before the stop, and its body arrives after it.
     void stopReadsRequestsInTransfer()
     {
         Server server({});
@@ -108,7 +109,8 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, stopped.get().interrupted);
     }
 
-    // A caller keeps its connection for its next request, which may be minutes away.
+    // A caller keeps its connection open for its next request, possibly for minutes. Guards
+    // against a stop that waits for it.
     void stopClosesIdleConnections()
     {
         Server server({});
@@ -125,7 +127,7 @@
         CPPUNIT_ASSERT_EQUAL(0, caller.readAnswer());
     }
 
-    // A caller is cut off from the network in the middle of its request.
+    // A caller loses its network connection while it sends a request.
     void stopEndsDespiteUnfinishedRequest()
     {
         Server server({});
@@ -138,7 +140,7 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, report.interrupted);
     }
 
-    // A caller is cut off from the network in the middle of an answer.
+    // A caller loses its network connection while it receives an answer.
     void stopEndsDespiteUnreadAnswer()
     {
         std::promise<void> entered;
@@ -156,7 +158,8 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, report.interrupted);
     }
 
-    // The end of what can be read comes together with a request: so it is at a stop.
+    // The end of the input arrives together with a request, as it does when a stopping server
+    // shuts down the read side. The request must still be answered.
     void halfClosedConnectionIsAnswered()
     {
         Server server({});
@@ -171,14 +174,14 @@
     }
 
 private:
-    // Returns once the server has read the head of a request with a body of four bytes.
+    // Returns after the server has read the header of a request with a body of four bytes.
     static void sendHead(RawCaller& caller)
     {
         caller.send("POST /jobs HTTP/1.1\r\nHost: test\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
         CPPUNIT_ASSERT_EQUAL(100, caller.readAnswer());
     }
 
-    // Returns once nobody is let in any more.
+    // Returns when new connections are refused.
     static void waitUntilRefused(const Server& server)
     {
         Client client;
--- a/src/http/transfer.cc
+++ b/src/http/transfer.cc
@@ -47,9 +47,9 @@
         return length;
     }
 
-    // libcurl sends a request again when a connection that it has used before breaks
-    // without an answer. What reads the body from a function that cannot go back, it
-    // cannot send again: the call fails, and its sender decides.
+    // libcurl resends a request if a reused connection breaks without an answer. It cannot
+    // resend a body that comes from a read function without seek support: then the call
+    // fails, and the sender decides whether to retry.
     void setBody(CURL* handle, Transfer& transfer)
     {
         const Call& call = transfer.call;
@@ -64,7 +64,7 @@
         curl_easy_setopt(handle, CURLOPT_READDATA, &transfer);
     }
 
-    // Once for each connection that libcurl is about to send the request on.
+    // Called once for each connection, before libcurl sends the request on it.
     int onConnection(void* user, char*, char*, int, int)
     {
         static_cast<Transfer*>(user)->awaitsFirstByte = true;
@@ -79,8 +79,8 @@
         transfer.reply.resendDelay = std::chrono::duration_cast<std::chrono::milliseconds>(now - transfer.firstTransmissionAt);
     }
 
-    // libcurl reports each block of the request as it is handed to the socket, so
-    // the first report means that from here on the peer may have acted.
+    // libcurl reports each block of the request when it is written to the socket; from the
+    // first report on, the peer has possibly acted on the request.
     int onDebug(CURL*, curl_infotype type, char*, std::size_t size, void* user)
     {
         auto* transfer = static_cast<Transfer*>(user);
--- a/src/http/transfer.h
+++ b/src/http/transfer.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// What both HTTP clients set on a libcurl handle, and how they read its outcome.
+// The configuration of libcurl handles and the evaluation of their results, shared by both
+// HTTP clients.
 
 #include "http/client.h"
 
@@ -8,28 +9,29 @@
 
 namespace rattan::http::detail {
 
-// One request on its way. Must stay where it is until libcurl is done with it.
+// The state of one transfer. libcurl holds pointers to it, so it must not be moved until
+// the transfer has ended.
 struct Transfer {
     Call call;
     Reply reply;
     bool isOverLimit { false };
     bool hasSentBytes { false };
-    std::chrono::steady_clock::time_point firstTransmissionAt; // When the first transmission began.
-    bool awaitsFirstByte { false }; // No byte of the present transmission has left.
-    std::size_t bodyBytesSent { 0 }; // Bytes handed over, of a call that must not be sent again.
-    std::uint64_t bytesSent { 0 }; // Headers and bodies, without what the network adds.
+    std::chrono::steady_clock::time_point firstTransmissionAt; // Start of the first transmission.
+    bool awaitsFirstByte { false }; // No byte of the current transmission has been sent.
+    std::size_t bodyBytesSent { 0 }; // Body bytes passed to libcurl; used only if the call must not be resent.
+    std::uint64_t bytesSent { 0 }; // HTTP headers and bodies, without TCP/IP overhead.
     std::uint64_t bytesReceived { 0 };
     curl_slist* headers { nullptr };
 };
 
-// Initialises libcurl once for the process; later calls do nothing.
+// Initializes libcurl once per process; later calls do nothing.
 void initializeCurl();
 
-// Resets the handle and gives it the call; `keptConnections` bounds its cache
-// where it runs on its own.
+// Resets the handle and configures it for the call. `maxCachedConnections` limits the
+// handle's own connection cache, which is used without a multi handle.
 void configureHandle(CURL*, Transfer&, long maxCachedConnections);
 
-// Fills in the reply, once libcurl says that the transfer is over.
+// Fills in the reply after libcurl has reported the end of the transfer.
 void fillReply(CURL*, CURLcode, Transfer&);
 
 } // namespace rattan::http::detail
