--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -182,7 +182,7 @@
     sockaddr_in bindAddress {};
     bindAddress.sin_family = AF_INET;
     if (colon == std::string::npos || inet_pton(AF_INET, host.c_str(), &bindAddress.sin_addr) != 1)
-        return fail(ErrorCode::BadInput, "http.start", this->options.address, "an IPv4 number and port are expected");
+        return fail(ErrorCode::BadInput, "http.start", this->options.address, "expected an IPv4 address and a port");
     const auto requestedPort = static_cast<std::uint16_t>(std::stoi(this->options.address.substr(colon + 1)));
     this->native->connections.emplace();
     this->draining = false;
@@ -221,7 +221,7 @@
         if (requestedPort != 0)
             break;
     }
-    return fail(ErrorCode::Unavailable, "http.start", this->options.address, "the address cannot be listened on");
+    return fail(ErrorCode::Unavailable, "http.start", this->options.address, "cannot listen on the address");
 }
 
 StopReport Server::stop() { return this->stop(this->options.stopTimeoutSeconds * millisPerSecond); }
--- a/src/http/testing/async_client_test.cc
+++ b/src/http/testing/async_client_test.cc
@@ -374,7 +374,7 @@
         constexpr double maxRatio = 4; // The ratio is 1.2, and 12 if every socket is checked at each answer.
         const double cpuWithFew = this->cpuSecondsWithPending(fewPending);
         const double cpuWithMany = this->cpuSecondsWithPending(manyPending);
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{:.1f} ms beside {}, {:.1f} ms beside {}", cpuWithFew * 1000, fewPending, cpuWithMany * 1000, manyPending), cpuWithMany < cpuWithFew * maxRatio);
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{:.1f} ms with {} pending calls, {:.1f} ms with {}", cpuWithFew * 1000, fewPending, cpuWithMany * 1000, manyPending), cpuWithMany < cpuWithFew * maxRatio);
     }
 
 private:
