--- a/src/http/testing/dropping_peer.h
+++ b/src/http/testing/dropping_peer.h
@@ -23,14 +23,14 @@
 // Binds a socket to a free port of the loopback address and listens; returns the port.
 inline int listenOnLoopback(int socket, int backlog)
 {
-    sockaddr_in name {};
-    name.sin_family = AF_INET;
-    name.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socklen_t size = sizeof(name);
-    CPPUNIT_ASSERT_EQUAL(0, bind(socket, reinterpret_cast<sockaddr*>(&name), size));
+    sockaddr_in socketAddress {};
+    socketAddress.sin_family = AF_INET;
+    socketAddress.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof(socketAddress);
+    CPPUNIT_ASSERT_EQUAL(0, bind(socket, reinterpret_cast<sockaddr*>(&socketAddress), size));
     CPPUNIT_ASSERT_EQUAL(0, listen(socket, backlog));
-    getsockname(socket, reinterpret_cast<sockaddr*>(&name), &size);
-    return ntohs(name.sin_port);
+    getsockname(socket, reinterpret_cast<sockaddr*>(&socketAddress), &size);
+    return ntohs(socketAddress.sin_port);
 }
 
 struct PeerAnswer {
@@ -78,20 +78,20 @@
 
     static std::size_t contentLength(const std::string& headers)
     {
-        const std::string name = "Content-Length: ";
-        const std::size_t position = headers.find(name);
-        return position == std::string::npos ? 0 : std::stoul(headers.substr(position + name.size()));
+        const std::string prefix = "Content-Length: ";
+        const std::size_t position = headers.find(prefix);
+        return position == std::string::npos ? 0 : std::stoul(headers.substr(position + prefix.size()));
     }
 
     bool readRequest(int connection)
     {
-        const std::string end = "\r\n\r\n";
+        const std::string headerEnd = "\r\n\r\n";
         std::string request;
         std::array<char, 4096> buffer {};
         for (ssize_t bytesRead = read(connection, buffer.data(), buffer.size()); bytesRead > 0; bytesRead = read(connection, buffer.data(), buffer.size())) {
             request.append(buffer.data(), static_cast<std::size_t>(bytesRead));
-            const std::size_t headerSize = request.find(end);
-            if (headerSize == std::string::npos || request.size() < headerSize + end.size() + contentLength(request.substr(0, headerSize)))
+            const std::size_t headerSize = request.find(headerEnd);
+            if (headerSize == std::string::npos || request.size() < headerSize + headerEnd.size() + contentLength(request.substr(0, headerSize)))
                 continue;
             ++this->requestCount;
             return true;
--- a/src/http/testing/raw_caller.h
+++ b/src/http/testing/raw_caller.h
@@ -18,11 +18,11 @@
     explicit RawCaller(const std::string& address)
         : socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
     {
-        sockaddr_in name {};
-        name.sin_family = AF_INET;
-        name.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        name.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(address.rfind(':') + 1))));
-        CPPUNIT_ASSERT_EQUAL(0, connect(this->socket, reinterpret_cast<sockaddr*>(&name), sizeof(name)));
+        sockaddr_in socketAddress {};
+        socketAddress.sin_family = AF_INET;
+        socketAddress.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        socketAddress.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(address.rfind(':') + 1))));
+        CPPUNIT_ASSERT_EQUAL(0, connect(this->socket, reinterpret_cast<sockaddr*>(&socketAddress), sizeof(socketAddress)));
         constexpr timeval receiveTimeout { 20, 0 };
         setsockopt(this->socket, SOL_SOCKET, SO_RCVTIMEO, &receiveTimeout, sizeof(receiveTimeout));
     }
@@ -40,13 +40,13 @@
     // Reads one complete answer. Returns its status, or 0 if the connection is closed first.
     int readAnswer()
     {
-        const std::string end = "\r\n\r\n";
+        const std::string headerEnd = "\r\n\r\n";
         std::array<char, 4096> buffer {};
         for (;;) {
-            const std::size_t headerSize = this->unparsed.find(end);
-            if (headerSize != std::string::npos && this->unparsed.size() >= headerSize + end.size() + contentLength(this->unparsed.substr(0, headerSize))) {
+            const std::size_t headerSize = this->unparsed.find(headerEnd);
+            if (headerSize != std::string::npos && this->unparsed.size() >= headerSize + headerEnd.size() + contentLength(this->unparsed.substr(0, headerSize))) {
                 const int status = std::stoi(this->unparsed.substr(this->unparsed.find(' ') + 1));
-                this->unparsed.erase(0, headerSize + end.size() + contentLength(this->unparsed.substr(0, headerSize)));
+                this->unparsed.erase(0, headerSize + headerEnd.size() + contentLength(this->unparsed.substr(0, headerSize)));
                 return status;
             }
             const ssize_t bytesReceived = recv(this->socket, buffer.data(), buffer.size(), 0);
@@ -59,9 +59,9 @@
 private:
     static std::size_t contentLength(const std::string& headers)
     {
-        const std::string name = "Content-Length: ";
-        const std::size_t position = headers.find(name);
-        return position == std::string::npos ? 0 : std::stoul(headers.substr(position + name.size()));
+        const std::string prefix = "Content-Length: ";
+        const std::size_t position = headers.find(prefix);
+        return position == std::string::npos ? 0 : std::stoul(headers.substr(position + prefix.size()));
     }
 
     int socket;
