--- a/src/http/testing/raw_caller.h
+++ b/src/http/testing/raw_caller.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A caller with one connection, on which nothing is ever sent a second time: each
-// request is answered, or its connection ends.
+// A caller with one connection that never resends a request: each request is answered, or
+// the connection is closed.
 
 #include <arpa/inet.h>
 #include <array>
@@ -18,13 +18,13 @@
     explicit RawCaller(const std::string& address)
         : socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
     {
-        sockaddr_in name {};
-        name.sin_family = AF_INET;
-        name.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        name.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(address.rfind(':') + 1))));
-        CPPUNIT_ASSERT_EQUAL(0, connect(this->socket, reinterpret_cast<sockaddr*>(&name), sizeof(name)));
-        constexpr timeval longest { 20, 0 };
-        setsockopt(this->socket, SOL_SOCKET, SO_RCVTIMEO, &longest, sizeof(longest));
+        sockaddr_in socketAddress {};
+        socketAddress.sin_family = AF_INET;
+        socketAddress.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        socketAddress.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(address.rfind(':') + 1))));
+        CPPUNIT_ASSERT_EQUAL(0, connect(this->socket, reinterpret_cast<sockaddr*>(&socketAddress), sizeof(socketAddress)));
+        constexpr timeval receiveTimeout { 20, 0 };
+        setsockopt(this->socket, SOL_SOCKET, SO_RCVTIMEO, &receiveTimeout, sizeof(receiveTimeout));
     }
     ~RawCaller() { close(this->socket); }
     RawCaller(const RawCaller&) = delete;
@@ -34,38 +34,38 @@
 
     void get(const std::string& path) const { this->send("GET " + path + " HTTP/1.1\r\nHost: test\r\n\r\n"); }
 
-    // No request comes after those sent by now.
+    // Shuts down the sending side: no further request follows.
     void endSending() const { shutdown(this->socket, SHUT_WR); }
 
-    // Reads one whole answer; its status, or 0 if the connection ended before.
+    // Reads one complete answer. Returns its status, or 0 if the connection is closed first.
     int readAnswer()
     {
-        const std::string end = "\r\n\r\n";
+        const std::string headerEnd = "\r\n\r\n";
         std::array<char, 4096> buffer {};
         for (;;) {
-            const std::size_t head = this->read.find(end);
-            if (head != std::string::npos && this->read.size() >= head + end.size() + lengthOf(this->read.substr(0, head))) {
-                const int status = std::stoi(this->read.substr(this->read.find(' ') + 1));
-                this->read.erase(0, head + end.size() + lengthOf(this->read.substr(0, head)));
+            const std::size_t headerSize = this->unparsed.find(headerEnd);
+            if (headerSize != std::string::npos && this->unparsed.size() >= headerSize + headerEnd.size() + contentLength(this->unparsed.substr(0, headerSize))) {
+                const int status = std::stoi(this->unparsed.substr(this->unparsed.find(' ') + 1));
+                this->unparsed.erase(0, headerSize + headerEnd.size() + contentLength(this->unparsed.substr(0, headerSize)));
                 return status;
             }
-            const ssize_t got = recv(this->socket, buffer.data(), buffer.size(), 0);
-            if (got <= 0)
+            const ssize_t bytesReceived = recv(this->socket, buffer.data(), buffer.size(), 0);
+            if (bytesReceived <= 0)
                 return 0;
-            this->read.append(buffer.data(), static_cast<std::size_t>(got));
+            this->unparsed.append(buffer.data(), static_cast<std::size_t>(bytesReceived));
         }
     }
 
 private:
-    static std::size_t lengthOf(const std::string& head)
+    static std::size_t contentLength(const std::string& headers)
     {
-        const std::string name = "Content-Length: ";
-        const std::size_t at = head.find(name);
-        return at == std::string::npos ? 0 : std::stoul(head.substr(at + name.size()));
+        const std::string prefix = "Content-Length: ";
+        const std::size_t position = headers.find(prefix);
+        return position == std::string::npos ? 0 : std::stoul(headers.substr(position + prefix.size()));
     }
 
     int socket;
-    std::string read;
+    std::string unparsed;
 };
 
 } // namespace rattan::http::testing
--- a/src/instance/control_loop.cc
+++ b/src/instance/control_loop.cc
@@ -56,7 +56,7 @@
     , protocols(protocols)
     , clock(clock)
     , metrics(metrics)
-    , client({ .connectionsPerPeer = connectionsPerPeer }, clock)
+    , client({ .maxConnectionsPerPeer = connectionsPerPeer }, clock)
     , gateway(gatewayOptions(this->settings), protocols.callers, this->jobs)
     , requestForwarder(this->client, protocols.callers, clock, this->settings.callerAddress)
     , configurationReader(this->client, protocols.store, clock, readerOptions(this->settings, Stream::Configuration), *this)
@@ -137,7 +137,7 @@
 {
     const Millis now = this->clock.now();
     const Millis wallTime = this->clock.wall();
-    this->client.useGroup(0);
+    this->client.setGroup(0);
     this->applyNewSettings();
     this->acceptRequests(now, wallTime);
     this->configurationReader.step(now);
--- a/src/instance/control_loop_term.cc
+++ b/src/instance/control_loop_term.cc
@@ -110,7 +110,7 @@
     }
     if (!this->election.leads(now))
         return;
-    this->client.useGroup(static_cast<int>(this->election.term()));
+    this->client.setGroup(static_cast<int>(this->election.term()));
     if (!this->leadership) {
         const TermServices services { this->client, this->protocols.store, this->protocols.workers, this->relaySelector, this->deliveryThread, this->clock, this->election, this->settings, this->metrics };
         this->metrics.count("rattan_terms_total", { { "event", "taken" } });
@@ -118,7 +118,7 @@
         this->leadership->applyCatalog(this->catalog);
     }
     this->leadership->step(now, wallTime);
-    this->client.useGroup(0);
+    this->client.setGroup(0);
     if (this->leadership->needsPlans())
         this->plansReader.step(now);
 }
--- a/src/instance/forwarded_answer.cc
+++ b/src/instance/forwarded_answer.cc
@@ -29,9 +29,9 @@
 CallerAnswer mergeForwardedAnswer(RequestKind kind, const CallerAnswer& ownAnswer, const std::optional<CallerAnswer>& peerAnswer, const http::Reply& reply)
 {
     if (peerAnswer)
-        return mergeAnswers(ownAnswer, *peerAnswer, reply.isRepeat() && kind != RequestKind::State);
+        return mergeAnswers(ownAnswer, *peerAnswer, reply.wasResent() && kind != RequestKind::State);
     CallerAnswer answer = ownAnswer;
-    if (reply.sent != http::Sent::Nothing && kind != RequestKind::State)
+    if (reply.sendOutcome != http::SendOutcome::NotSent && kind != RequestKind::State)
         answer.outcome = Outcome::Unknown; // The other instance may have stored it.
     return answer;
 }
--- a/src/instance/program.cc
+++ b/src/instance/program.cc
@@ -40,8 +40,8 @@
             : settings(std::move(settings))
             , protocols(protocols)
             , loop(this->settings, protocols, this->clock, this->metrics)
-            , callerServer({ .address = this->settings.callerAddress, .bodyLimit = maxBodyBytes, .connectionLimit = maxCallerConnections, .idleSeconds = callerIdleSeconds })
-            , probeServer({ .address = this->settings.readyAddress, .connectionLimit = maxProbeConnections, .idleSeconds = callerIdleSeconds })
+            , callerServer({ .address = this->settings.callerAddress, .maxBodyBytes = maxBodyBytes, .maxConnections = maxCallerConnections, .idleTimeoutSeconds = callerIdleSeconds })
+            , probeServer({ .address = this->settings.readyAddress, .maxConnections = maxProbeConnections, .idleTimeoutSeconds = callerIdleSeconds })
         {
             this->callerServer.fallback([this](const http::Request& request) { return this->serve(request); });
             this->probeServer.route("GET", "/readyz", [this](const http::Request&) { return readiness(this->loop); });
@@ -99,7 +99,7 @@
             const http::StopReport report = this->callerServer.stop(std::max<Millis>(startedAt + schedule.closeDeadline - this->clock.now(), 0));
             this->probeServer.stop(probesCloseTimeout);
             this->loop.stop();
-            logEvent(events::stopped, { { "took_ms", this->clock.now() - startedAt }, { "in_progress", report.inProgress }, { "cut", report.cut } });
+            logEvent(events::stopped, { { "took_ms", this->clock.now() - startedAt }, { "in_progress", report.inProgress }, { "cut", report.interrupted } });
         }
 
         InstanceSettings settings;
--- a/src/instance/request_forwarder.cc
+++ b/src/instance/request_forwarder.cc
@@ -48,7 +48,7 @@
     call.purpose = "callers_relayed";
     call.timeout = std::chrono::milliseconds(forwardedRequest.timeout);
     call.connectTimeout = connectTimeout;
-    call.resend = true;
+    call.canResend = true;
     const RequestKind kind = request.kind;
     const std::string jobId = request.path.substr(request.path.rfind('/') + 1);
     this->client.send(std::move(call), [this, peer, kind, jobId, ownAnswer, handler = std::move(handler)](const http::Reply& reply) {
