--- a/src/base/ring.h
+++ b/src/base/bounded_queue.h
@@ -2,10 +2,10 @@
 
 // A bounded queue that joins two threads.
 //
-//     BoundedRing<Job> ring(1024);
-//     if (!ring.tryPush(job))        // full: the caller answers "overloaded"
+//     BoundedQueue<Job> queue(1024);
+//     if (!queue.tryPush(job))        // full: the caller answers "overloaded"
 //         return fail(ErrorCode::Overloaded, ...);
-//     while (auto job = ring.pop())  // empty optional once closed and drained
+//     while (auto job = queue.pop())  // empty optional once closed and drained
 //         run(*job);
 //
 // It never grows past its capacity, so a slow consumer shows up as a refused
@@ -22,9 +22,9 @@
 namespace rattan {
 
 template <typename T>
-class BoundedRing {
+class BoundedQueue {
 public:
-    explicit BoundedRing(std::size_t capacity)
+    explicit BoundedQueue(std::size_t capacity)
         : capacity(capacity)
     {
     }
@@ -38,7 +38,7 @@
                 return false;
             this->values.push_back(std::move(value));
         }
-        this->ready.notify_one();
+        this->notEmpty.notify_one();
         return true;
     }
 
@@ -47,12 +47,12 @@
     {
         {
             std::unique_lock lock(this->mutex);
-            this->room.wait(lock, [this] { return this->closed || this->values.size() < this->capacity; });
+            this->notFull.wait(lock, [this] { return this->closed || this->values.size() < this->capacity; });
             if (this->closed)
                 return false;
             this->values.push_back(std::move(value));
         }
-        this->ready.notify_one();
+        this->notEmpty.notify_one();
         return true;
     }
 
@@ -60,16 +60,16 @@
     std::optional<T> pop()
     {
         std::unique_lock lock(this->mutex);
-        this->ready.wait(lock, [this] { return this->closed || !this->values.empty(); });
-        return this->take();
+        this->notEmpty.wait(lock, [this] { return this->closed || !this->values.empty(); });
+        return this->takeFirst();
     }
 
     // Waits at most this long; empty when nothing came.
-    std::optional<T> popFor(std::chrono::milliseconds limit)
+    std::optional<T> popFor(std::chrono::milliseconds timeout)
     {
         std::unique_lock lock(this->mutex);
-        this->ready.wait_for(lock, limit, [this] { return this->closed || !this->values.empty(); });
-        return this->take();
+        this->notEmpty.wait_for(lock, timeout, [this] { return this->closed || !this->values.empty(); });
+        return this->takeFirst();
     }
 
     // Refuses further pushes and wakes every waiting pop.
@@ -79,8 +79,8 @@
             const std::lock_guard lock(this->mutex);
             this->closed = true;
         }
-        this->ready.notify_all();
-        this->room.notify_all();
+        this->notEmpty.notify_all();
+        this->notFull.notify_all();
     }
 
     bool isClosed() const
@@ -96,20 +96,20 @@
     }
 
 private:
-    std::optional<T> take()
+    std::optional<T> takeFirst()
     {
         if (this->values.empty())
             return std::nullopt;
         std::optional<T> value(std::move(this->values.front()));
         this->values.pop_front();
-        this->room.notify_one();
+        this->notFull.notify_one();
         return value;
     }
 
     const std::size_t capacity;
     mutable std::mutex mutex;
-    std::condition_variable ready;
-    std::condition_variable room;
+    std::condition_variable notEmpty;
+    std::condition_variable notFull;
     std::deque<T> values;
     bool closed { false };
 };
--- a/src/base/clock.cc
+++ b/src/base/clock.cc
@@ -10,9 +10,9 @@
     {
         timespec time {};
         clock_gettime(clock, &time);
-        constexpr Millis perSecond = 1000;
+        constexpr Millis millisPerSecond = 1000;
         constexpr Millis nanosPerMilli = 1000000;
-        return time.tv_sec * perSecond + time.tv_nsec / nanosPerMilli;
+        return time.tv_sec * millisPerSecond + time.tv_nsec / nanosPerMilli;
     }
 
 } // namespace
--- a/src/base/datagram_socket.cc
+++ b/src/base/datagram_socket.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-    constexpr std::size_t longestDatagram = 512;
+    constexpr std::size_t maxDatagramBytes = 512;
 
     std::optional<sockaddr_in> parseAddress(const std::string& text)
     {
@@ -51,17 +51,17 @@
     const auto name = parseAddress(address);
     if (!name)
         return fail(ErrorCode::BadInput, "datagram.open", address, "IP:PORT is expected");
-    const int fresh = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (fresh < 0)
+    const int newSocket = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    if (newSocket < 0)
         return fail(ErrorCode::Unavailable, "datagram.open", address, std::strerror(errno));
-    if (bind(fresh, reinterpret_cast<const sockaddr*>(&*name), sizeof(*name)) != 0) {
-        const int why = errno;
-        close(fresh);
-        return fail(ErrorCode::Unavailable, "datagram.open", address, std::strerror(why));
+    if (bind(newSocket, reinterpret_cast<const sockaddr*>(&*name), sizeof(*name)) != 0) {
+        const int bindError = errno;
+        close(newSocket);
+        return fail(ErrorCode::Unavailable, "datagram.open", address, std::strerror(bindError));
     }
     if (this->socket >= 0)
         close(this->socket);
-    this->socket = fresh;
+    this->socket = newSocket;
     return {};
 }
 
@@ -71,20 +71,20 @@
     if (this->socket < 0 || !name)
         return;
     // What is not taken now is said again by the sender.
-    static_cast<void>(sendto(this->socket, text.data(), std::min(text.size(), longestDatagram), 0, reinterpret_cast<const sockaddr*>(&*name), sizeof(*name)));
+    static_cast<void>(sendto(this->socket, text.data(), std::min(text.size(), maxDatagramBytes), 0, reinterpret_cast<const sockaddr*>(&*name), sizeof(*name)));
 }
 
 std::optional<Datagram> DatagramSocket::receive() const
 {
     if (this->socket < 0)
         return std::nullopt;
-    std::array<char, longestDatagram> buffer {};
+    std::array<char, maxDatagramBytes> buffer {};
     sockaddr_in from {};
     socklen_t size = sizeof(from);
-    const ssize_t got = recvfrom(this->socket, buffer.data(), buffer.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
-    if (got < 0)
+    const ssize_t receivedBytes = recvfrom(this->socket, buffer.data(), buffer.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
+    if (receivedBytes < 0)
         return std::nullopt; // Nothing there; or a peer's refusal, which its silence shows as well.
-    return Datagram { textOf(from), std::string(buffer.data(), static_cast<std::size_t>(got)) };
+    return Datagram { textOf(from), std::string(buffer.data(), static_cast<std::size_t>(receivedBytes)) };
 }
 
 std::string DatagramSocket::address() const
--- a/src/base/json.cc
+++ b/src/base/json.cc
@@ -24,59 +24,59 @@
     , peer(std::move(peer))
 {
     if (!object.is_object())
-        this->fault("a JSON object is expected");
+        this->addError("a JSON object is expected");
 }
 
-std::string JsonReader::text(const std::string& name, std::size_t shortest, std::size_t longest)
+std::string JsonReader::text(const std::string& name, std::size_t minBytes, std::size_t maxBytes)
 {
     const Json* value = this->find(name, true);
     if (!value)
         return {};
     if (!value->is_string()) {
-        this->fault(name + " must be a string");
+        this->addError(name + " must be a string");
         return {};
     }
     const std::string& result = value->get_ref<const std::string&>();
-    if (result.size() < shortest || result.size() > longest)
-        this->fault(fmt::format("{} must have {} to {} bytes", name, shortest, longest));
+    if (result.size() < minBytes || result.size() > maxBytes)
+        this->addError(fmt::format("{} must have {} to {} bytes", name, minBytes, maxBytes));
     return result;
 }
 
-std::int64_t JsonReader::number(const std::string& name, std::int64_t lowest, std::int64_t highest)
+std::int64_t JsonReader::number(const std::string& name, std::int64_t minValue, std::int64_t maxValue)
 {
     const Json* value = this->find(name, true);
     if (!value)
-        return lowest;
+        return minValue;
     const bool fits = value->is_number_unsigned()
-        ? value->get<std::uint64_t>() <= static_cast<std::uint64_t>(std::max<std::int64_t>(highest, 0))
+        ? value->get<std::uint64_t>() <= static_cast<std::uint64_t>(std::max<std::int64_t>(maxValue, 0))
         : value->is_number_integer();
-    if (!fits || value->get<std::int64_t>() < lowest || value->get<std::int64_t>() > highest) {
-        this->fault(fmt::format("{} must be a whole number from {} to {}", name, lowest, highest));
-        return lowest;
+    if (!fits || value->get<std::int64_t>() < minValue || value->get<std::int64_t>() > maxValue) {
+        this->addError(fmt::format("{} must be a whole number from {} to {}", name, minValue, maxValue));
+        return minValue;
     }
     return value->get<std::int64_t>();
 }
 
-const Json& JsonReader::array(const std::string& name, std::size_t longest)
+const Json& JsonReader::array(const std::string& name, std::size_t maxItems)
 {
     const Json* value = this->find(name, true);
     if (!value)
         return emptyArray;
-    if (!value->is_array() || value->size() > longest) {
-        this->fault(fmt::format("{} must be an array of at most {} items", name, longest));
+    if (!value->is_array() || value->size() > maxItems) {
+        this->addError(fmt::format("{} must be an array of at most {} items", name, maxItems));
         return emptyArray;
     }
     return *value;
 }
 
-std::string JsonReader::textOr(const std::string& name, const std::string& fallback, std::size_t longest)
+std::string JsonReader::textOr(const std::string& name, const std::string& fallback, std::size_t maxBytes)
 {
-    return this->find(name, false) ? this->text(name, 0, longest) : fallback;
+    return this->find(name, false) ? this->text(name, 0, maxBytes) : fallback;
 }
 
-std::int64_t JsonReader::numberOr(const std::string& name, std::int64_t fallback, std::int64_t lowest, std::int64_t highest)
+std::int64_t JsonReader::numberOr(const std::string& name, std::int64_t fallback, std::int64_t minValue, std::int64_t maxValue)
 {
-    return this->find(name, false) ? this->number(name, lowest, highest) : fallback;
+    return this->find(name, false) ? this->number(name, minValue, maxValue) : fallback;
 }
 
 bool JsonReader::flagOr(const std::string& name, bool fallback)
@@ -85,7 +85,7 @@
     if (!value)
         return fallback;
     if (!value->is_boolean()) {
-        this->fault(name + " must be true or false");
+        this->addError(name + " must be true or false");
         return fallback;
     }
     return value->get<bool>();
@@ -99,29 +99,29 @@
 
 bool JsonReader::has(const std::string& name) const { return this->object.is_object() && this->object.contains(name); }
 
-void JsonReader::fault(std::string message) { this->faults.push_back(std::move(message)); }
+void JsonReader::addError(std::string message) { this->errors.push_back(std::move(message)); }
 
 std::optional<Error> JsonReader::error() const
 {
-    std::vector<std::string> all = this->faults;
-    if (this->object.is_object() && !this->unknownAllowed) {
+    std::vector<std::string> messages = this->errors;
+    if (this->object.is_object() && !this->unknownFieldsAllowed) {
         for (const auto& item : this->object.items()) {
-            if (!this->known.contains(item.key()))
-                all.push_back(fmt::format("{} is not a known field", item.key()));
+            if (!this->requestedFields.contains(item.key()))
+                messages.push_back(fmt::format("{} is not a known field", item.key()));
         }
     }
-    if (all.empty())
+    if (messages.empty())
         return std::nullopt;
-    return Error { ErrorCode::BadInput, this->step, this->peer, fmt::format("{}", fmt::join(all, "; ")), {} };
+    return Error { ErrorCode::BadInput, this->step, this->peer, fmt::format("{}", fmt::join(messages, "; ")), {} };
 }
 
 const Json* JsonReader::find(const std::string& name, bool required)
 {
-    this->known.insert(name);
+    this->requestedFields.insert(name);
     if (this->has(name))
         return &this->object.at(name);
     if (required)
-        this->fault(name + " is missing");
+        this->addError(name + " is missing");
     return nullptr;
 }
 
--- a/src/base/json.h
+++ b/src/base/json.h
@@ -34,21 +34,21 @@
     JsonReader(const Json& object, std::string step, std::string peer = "");
 
     // Required fields; the value returned on a fault is a default to go on with.
-    std::string text(const std::string& name, std::size_t shortest, std::size_t longest);
-    std::int64_t number(const std::string& name, std::int64_t lowest, std::int64_t highest);
-    const Json& array(const std::string& name, std::size_t longest);
+    std::string text(const std::string& name, std::size_t minBytes, std::size_t maxBytes);
+    std::int64_t number(const std::string& name, std::int64_t minValue, std::int64_t maxValue);
+    const Json& array(const std::string& name, std::size_t maxItems);
 
     // Optional fields.
-    std::string textOr(const std::string& name, const std::string& fallback, std::size_t longest);
-    std::int64_t numberOr(const std::string& name, std::int64_t fallback, std::int64_t lowest, std::int64_t highest);
+    std::string textOr(const std::string& name, const std::string& fallback, std::size_t maxBytes);
+    std::int64_t numberOr(const std::string& name, std::int64_t fallback, std::int64_t minValue, std::int64_t maxValue);
     bool flagOr(const std::string& name, bool fallback);
     const Json& anyOr(const std::string& name, const Json& fallback);
 
     bool has(const std::string& name) const;
-    void fault(std::string message);
+    void addError(std::string message);
 
     // Fields that nobody asked for become faults unless they are allowed.
-    void allowUnknown() { this->unknownAllowed = true; }
+    void allowUnknownFields() { this->unknownFieldsAllowed = true; }
 
     std::optional<Error> error() const;
 
@@ -66,9 +66,9 @@
     const Json& object;
     std::string step;
     std::string peer;
-    std::set<std::string> known;
-    std::vector<std::string> faults;
-    bool unknownAllowed { false };
+    std::set<std::string> requestedFields;
+    std::vector<std::string> errors;
+    bool unknownFieldsAllowed { false };
 };
 
 } // namespace rattan
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -22,7 +22,7 @@
         std::mutex mutex;
         std::string program { "rattan" };
         std::string instance;
-        Level lowest { Level::Info };
+        Level minLevel { Level::Info };
     };
 
     LogState& logState()
@@ -39,7 +39,7 @@
     return names.at(static_cast<std::size_t>(level));
 }
 
-Level levelNamed(std::string_view name)
+Level parseLevel(std::string_view name)
 {
     for (const Level level : { Level::Debug, Level::Info, Level::Warning, Level::Error }) {
         if (nameOf(level) == name)
@@ -48,20 +48,20 @@
     return Level::Info;
 }
 
-void startLog(std::string program, std::string instance, Level lowest)
+void startLog(std::string program, std::string instance, Level minLevel)
 {
     LogState& state = logState();
     const std::lock_guard lock(state.mutex);
     state.program = std::move(program);
     state.instance = std::move(instance);
-    state.lowest = lowest;
+    state.minLevel = minLevel;
 }
 
 void logEvent(const Event& event, std::initializer_list<LogField> fields, std::string_view variant)
 {
     LogState& state = logState();
     const std::lock_guard lock(state.mutex);
-    if (event.level < state.lowest)
+    if (event.level < state.minLevel)
         return;
     std::string line = fmt::format("time={} level={} event={} name={} program={}", SystemClock().wall(),
         nameOf(event.level), event.number, event.name, state.program);
@@ -92,21 +92,21 @@
     state.writer.reset();
 }
 
-std::uint64_t logLinesLeftOut()
+std::uint64_t droppedLogLines()
 {
     LogState& state = logState();
     const std::lock_guard lock(state.mutex);
-    return state.writer ? state.writer->leftOut() : 0;
+    return state.writer ? state.writer->droppedLines() : 0;
 }
 
 namespace detail {
 
     std::string quoted(std::string_view value)
     {
-        bool plain = !value.empty();
+        bool isPlain = !value.empty();
         for (const char c : value)
-            plain = plain && static_cast<unsigned char>(c) > ' ' && c != '"' && c != '\\' && c != '=' && c != 0x7f;
-        if (plain)
+            isPlain = isPlain && static_cast<unsigned char>(c) > ' ' && c != '"' && c != '\\' && c != '=' && c != 0x7f;
+        if (isPlain)
             return std::string(value);
         std::string text = "\"";
         for (const char c : value) {
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -30,7 +30,7 @@
 std::string_view nameOf(Level);
 
 // The level of that name; Info for any other text.
-Level levelNamed(std::string_view);
+Level parseLevel(std::string_view);
 
 struct Event {
     std::uint16_t number;
@@ -53,7 +53,7 @@
 
 // Set once at start: the program's name and instance id, and the lowest level
 // that is printed.
-void startLog(std::string program, std::string instance, Level lowest);
+void startLog(std::string program, std::string instance, Level minLevel);
 
 // From now on lines go to standard output by a thread of their own: whoever logs
 // never waits, and lines are lost when nobody reads them. stopLog() writes what
@@ -62,7 +62,7 @@
 void stopLog();
 
 // Lines that were left out so far.
-std::uint64_t logLinesLeftOut();
+std::uint64_t droppedLogLines();
 
 //
 // In the background each event may have a bounded number of lines a second. Lines with a
--- a/src/base/log_writer.cc
+++ b/src/base/log_writer.cc
@@ -27,24 +27,24 @@
 
 LogWriter::LogWriter(int descriptor, LogWriterOptions options)
     : options(options)
-    , shared(std::make_shared<Shared>(options.mostLines))
+    , shared(std::make_shared<Shared>(options.maxQueuedLines))
 {
-    this->thread = std::thread([descriptor, gather = options.gather, shared = this->shared] {
-        std::uint64_t told = 0;
-        while (auto first = shared->lines.pop()) {
-            if (!shared->lines.isClosed())
-                std::this_thread::sleep_for(gather);
+    this->thread = std::thread([descriptor, batchInterval = options.batchInterval, shared = this->shared] {
+        std::uint64_t reportedDrops = 0;
+        while (auto first = shared->queuedLines.pop()) {
+            if (!shared->queuedLines.isClosed())
+                std::this_thread::sleep_for(batchInterval);
             std::string text = std::move(*first);
-            while (auto next = shared->lines.popFor(std::chrono::milliseconds(0)))
+            while (auto next = shared->queuedLines.popFor(std::chrono::milliseconds(0)))
                 text += *next;
-            if (const std::uint64_t left = shared->leftOut; left != told) {
-                text += fmt::format("level=warning name=log.left_out lines={} in_all={}\n", left - told, left);
-                told = left;
+            if (const std::uint64_t drops = shared->droppedLines; drops != reportedDrops) {
+                text += fmt::format("level=warning name=log.left_out lines={} in_all={}\n", drops - reportedDrops, drops);
+                reportedDrops = drops;
             }
             if (!writeAll(descriptor, text))
                 break;
         }
-        shared->done = true;
+        shared->isThreadDone = true;
     });
 }
 
@@ -58,28 +58,28 @@
     Budget& budget = this->budgets[source];
     if (budget.second != second)
         budget = { second, 0 };
-    return ++budget.used;
+    return ++budget.lineCount;
 }
 
 void LogWriter::write(const LogSource& source, std::string line)
 {
-    const std::int64_t used = this->countLine(source);
-    const std::size_t room = used > this->options.rareLines ? this->options.mostLines / 2 : this->options.mostLines;
-    const bool fits = used <= this->options.linesPerSecond && this->shared->lines.size() < room;
-    if (!fits || !this->shared->lines.tryPush(std::move(line)))
-        ++this->shared->leftOut;
+    const std::int64_t lineCount = this->countLine(source);
+    const std::size_t maxQueued = lineCount > this->options.maxRareLinesPerSecond ? this->options.maxQueuedLines / 2 : this->options.maxQueuedLines;
+    const bool isAccepted = lineCount <= this->options.maxLinesPerSecond && this->shared->queuedLines.size() < maxQueued;
+    if (!isAccepted || !this->shared->queuedLines.tryPush(std::move(line)))
+        ++this->shared->droppedLines;
 }
 
 void LogWriter::stop()
 {
     if (!this->thread.joinable())
         return;
-    this->shared->lines.close();
-    const auto until = std::chrono::steady_clock::now() + this->options.longestStop;
-    constexpr std::chrono::milliseconds step { 5 };
-    while (!this->shared->done && std::chrono::steady_clock::now() < until)
-        std::this_thread::sleep_for(step);
-    if (this->shared->done)
+    this->shared->queuedLines.close();
+    const auto deadline = std::chrono::steady_clock::now() + this->options.maxStopTime;
+    constexpr std::chrono::milliseconds pollInterval { 5 };
+    while (!this->shared->isThreadDone && std::chrono::steady_clock::now() < deadline)
+        std::this_thread::sleep_for(pollInterval);
+    if (this->shared->isThreadDone)
         this->thread.join();
     else
         this->thread.detach(); // Nobody reads; the program must end all the same.
--- a/src/base/log_writer.h
+++ b/src/base/log_writer.h
@@ -3,7 +3,7 @@
 // Writes log lines on a thread of its own, so that whoever logs never waits for
 // whoever reads.
 //
-//     LogWriter writer(STDOUT_FILENO, { .mostLines = 4000 });
+//     LogWriter writer(STDOUT_FILENO, { .maxQueuedLines = 4000 });
 //     writer.write({ 1401, "" }, "time=...\n");
 //     writer.stop();
 //
@@ -12,7 +12,7 @@
 // little: those explain a failure, and must not be crowded out by routine. What was left
 // out is counted and reported in a line of its own. Thread-safe.
 
-#include "base/ring.h"
+#include "base/bounded_queue.h"
 
 #include <array>
 #include <atomic>
@@ -36,11 +36,11 @@
 };
 
 struct LogWriterOptions {
-    std::size_t mostLines { 4000 }; // Waiting; about 1 MB.
-    std::int64_t linesPerSecond { 300 }; // Of one source.
-    std::int64_t rareLines { 30 }; // A source with at most so many lines in a second is rare.
-    std::chrono::milliseconds gather { 100 }; // Lines that come within it share a write.
-    std::chrono::milliseconds longestStop { 300 };
+    std::size_t maxQueuedLines { 4000 }; // Waiting; about 1 MB.
+    std::int64_t maxLinesPerSecond { 300 }; // Of one source.
+    std::int64_t maxRareLinesPerSecond { 30 }; // A source with at most so many lines in a second is rare.
+    std::chrono::milliseconds batchInterval { 100 }; // Lines that come within it share a write.
+    std::chrono::milliseconds maxStopTime { 300 };
 };
 
 class LogWriter {
@@ -55,24 +55,24 @@
     // Writes what waits, if the reader takes it in time.
     void stop();
 
-    std::uint64_t leftOut() const { return this->shared->leftOut; }
+    std::uint64_t droppedLines() const { return this->shared->droppedLines; }
 
 private:
     // Outlives the writer where its thread is stuck in a write.
     struct Shared {
-        explicit Shared(std::size_t lines)
-            : lines(lines)
+        explicit Shared(std::size_t capacity)
+            : queuedLines(capacity)
         {
         }
 
-        BoundedRing<std::string> lines;
-        std::atomic<std::uint64_t> leftOut { 0 };
-        std::atomic<bool> done { false };
+        BoundedQueue<std::string> queuedLines;
+        std::atomic<std::uint64_t> droppedLines { 0 };
+        std::atomic<bool> isThreadDone { false };
     };
 
     struct Budget {
         std::int64_t second { 0 };
-        std::int64_t used { 0 };
+        std::int64_t lineCount { 0 };
     };
 
     std::int64_t countLine(const LogSource&);
--- a/src/base/metrics.cc
+++ b/src/base/metrics.cc
@@ -11,7 +11,7 @@
 
     constexpr std::array<double, 3> quantileLevels { 0.5, 0.9, 0.99 };
 
-    std::string escaped(const std::string& value)
+    std::string escapeLabelValue(const std::string& value)
     {
         std::string text;
         for (const char c : value) {
@@ -22,43 +22,43 @@
         return text;
     }
 
-    std::string printed(const Labels& labels)
+    std::string formatLabels(const Labels& labels)
     {
         std::string text;
         for (const auto& [name, value] : labels)
-            text += fmt::format("{}{}=\"{}\"", text.empty() ? "" : ",", name, escaped(value));
+            text += fmt::format("{}{}=\"{}\"", text.empty() ? "" : ",", name, escapeLabelValue(value));
         return text;
     }
 
-    std::string line(const std::string& name, const std::string& labels, double value)
+    std::string formatSample(const std::string& name, const std::string& labels, double value)
     {
         return labels.empty() ? fmt::format("{} {}\n", name, value) : fmt::format("{}{{{}}} {}\n", name, labels, value);
     }
 
 } // namespace
 
-void Metrics::count(const std::string& name, const Labels& labels, double by)
+void Metrics::count(const std::string& name, const Labels& labels, double increment)
 {
     const std::lock_guard lock(this->mutex);
-    const Key key { name, printed(labels) };
-    if (this->admits(key, this->counters.contains(key)))
-        this->counters[key] += by;
+    const Key key { name, formatLabels(labels) };
+    if (this->admitSeries(key, this->counters.contains(key)))
+        this->counters[key] += increment;
 }
 
 void Metrics::set(const std::string& name, const Labels& labels, double value)
 {
     const std::lock_guard lock(this->mutex);
-    const Key key { name, printed(labels) };
-    if (this->admits(key, this->gauges.contains(key)))
+    const Key key { name, formatLabels(labels) };
+    if (this->admitSeries(key, this->gauges.contains(key)))
         this->gauges[key] = value;
 }
 
 void Metrics::observe(const std::string& name, const Labels& labels, double value)
 {
     const std::lock_guard lock(this->mutex);
-    const Key key { name, printed(labels) };
+    const Key key { name, formatLabels(labels) };
     auto found = this->distributions.find(key);
-    if (!this->admits(key, found != this->distributions.end()))
+    if (!this->admitSeries(key, found != this->distributions.end()))
         return;
     if (found == this->distributions.end())
         found = this->distributions.emplace(key, Quantiles(acc::extended_p_square_probabilities = quantileLevels)).first;
@@ -68,7 +68,7 @@
 double Metrics::value(const std::string& name, const Labels& labels) const
 {
     const std::lock_guard lock(this->mutex);
-    const Key key { name, printed(labels) };
+    const Key key { name, formatLabels(labels) };
     if (const auto found = this->counters.find(key); found != this->counters.end())
         return found->second;
     const auto gauge = this->gauges.find(key);
@@ -79,37 +79,37 @@
 {
     const std::lock_guard lock(this->mutex);
     std::string text;
-    std::string last;
+    std::string previousName;
     const auto header = [&](const std::string& name, std::string_view type) {
-        if (name != last)
+        if (name != previousName)
             text += fmt::format("# TYPE {} {}\n", name, type);
-        last = name;
+        previousName = name;
     };
     for (const auto& [key, value] : this->counters) {
         header(key.first, "counter");
-        text += line(key.first, key.second, value);
+        text += formatSample(key.first, key.second, value);
     }
     for (const auto& [key, value] : this->gauges) {
         header(key.first, "gauge");
-        text += line(key.first, key.second, value);
+        text += formatSample(key.first, key.second, value);
     }
     for (const auto& [key, quantiles] : this->distributions) {
         header(key.first, "summary");
         for (const double level : quantileLevels) {
             const std::string labels = fmt::format("{}{}quantile=\"{}\"", key.second, key.second.empty() ? "" : ",", level);
-            text += line(key.first, labels, acc::quantile(quantiles, acc::quantile_probability = level));
+            text += formatSample(key.first, labels, acc::quantile(quantiles, acc::quantile_probability = level));
         }
-        text += line(key.first + "_sum", key.second, acc::sum(quantiles));
-        text += line(key.first + "_count", key.second, static_cast<double>(acc::count(quantiles)));
+        text += formatSample(key.first + "_sum", key.second, acc::sum(quantiles));
+        text += formatSample(key.first + "_count", key.second, static_cast<double>(acc::count(quantiles)));
     }
     text += fmt::format("# TYPE rattan_metrics_dropped_total counter\nrattan_metrics_dropped_total {}\n", this->dropped);
     return text;
 }
 
-bool Metrics::admits(const Key&, bool known)
+bool Metrics::admitSeries(const Key&, bool exists)
 {
     const std::size_t series = this->counters.size() + this->gauges.size() + this->distributions.size();
-    if (known || series < maximumSeries)
+    if (exists || series < maxSeries)
         return true;
     ++this->dropped;
     return false;
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -10,7 +10,7 @@
 //
 // A distribution keeps count, sum and running 0.5, 0.9 and 0.99 quantiles by
 // Boost.Accumulators' extended P-square estimator, in constant memory. At most
-// maximumSeries label combinations are kept; further ones are dropped and
+// maxSeries label combinations are kept; further ones are dropped and
 // counted in rattan_metrics_dropped_total. Thread-safe.
 
 #include <sstream> // Needed by Boost.Accumulators, which does not include it.
@@ -33,9 +33,9 @@
 
 class Metrics {
 public:
-    static constexpr std::size_t maximumSeries = 2000;
+    static constexpr std::size_t maxSeries = 2000;
 
-    void count(const std::string& name, const Labels& labels = {}, double by = 1);
+    void count(const std::string& name, const Labels& labels = {}, double increment = 1);
     void set(const std::string& name, const Labels& labels, double value);
     void observe(const std::string& name, const Labels& labels, double value);
 
@@ -50,7 +50,7 @@
             boost::accumulators::tag::extended_p_square_quantile>>;
     using Key = std::pair<std::string, std::string>; // name, printed labels
 
-    bool admits(const Key&, bool known);
+    bool admitSeries(const Key&, bool exists);
 
     mutable std::mutex mutex;
     std::map<Key, double> counters;
--- a/src/base/periodic_thread.h
+++ b/src/base/periodic_thread.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// A thread that runs one duty again and again, with a pause in between, until it
+// A thread that runs one callback again and again, with a pause in between, until it
 // is stopped.
 //
 //     PeriodicThread thread;
@@ -21,15 +21,15 @@
 public:
     ~PeriodicThread() { this->stop(); }
 
-    void start(std::chrono::milliseconds period, std::function<void()> duty)
+    void start(std::chrono::milliseconds delay, std::function<void()> callback)
     {
-        this->thread = std::thread([this, period, duty = std::move(duty)] {
+        this->thread = std::thread([this, delay, callback = std::move(callback)] {
             std::unique_lock lock(this->mutex);
             while (!this->stopping) {
                 lock.unlock();
-                duty();
+                callback();
                 lock.lock();
-                this->wake.wait_for(lock, period, [this] { return this->stopping; });
+                this->wake.wait_for(lock, delay, [this] { return this->stopping; });
             }
         });
     }
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -33,7 +33,7 @@
         return result;
     }
 
-    std::vector<std::string> split(const std::string& text)
+    std::vector<std::string> splitAtCommas(const std::string& text)
     {
         std::vector<std::string> parts;
         std::size_t start = 0;
@@ -63,13 +63,13 @@
         });
 }
 
-void Settings::number(const std::string& name, std::int64_t* target, std::int64_t lowest, std::int64_t highest,
+void Settings::number(const std::string& name, std::int64_t* target, std::int64_t minValue, std::int64_t maxValue,
     const std::string& unit, const std::string& meaning)
 {
-    this->add({ name, "N", fmt::format("{} to {} {}", lowest, highest, unit), fmt::to_string(*target), meaning },
-        [target, lowest, highest](const std::string& text) {
+    this->add({ name, "N", fmt::format("{} to {} {}", minValue, maxValue, unit), fmt::to_string(*target), meaning },
+        [target, minValue, maxValue](const std::string& text) {
             const auto value = wholeNumber(text);
-            if (!value || *value < lowest || *value > highest)
+            if (!value || *value < minValue || *value > maxValue)
                 return false;
             *target = *value;
             return true;
@@ -89,18 +89,18 @@
 {
     this->add({ name, "IP:PORT,...", "IP numbers with ports, split by commas", fmt::format("{}", fmt::join(*target, ",")), meaning },
         [target](const std::string& value) {
-            *target = split(value);
+            *target = splitAtCommas(value);
             return std::all_of(target->begin(), target->end(), detail::isAddress);
         });
 }
 
-void Settings::choice(const std::string& name, std::string* target, const std::vector<std::string>& words,
+void Settings::choice(const std::string& name, std::string* target, const std::vector<std::string>& choices,
     const std::string& meaning)
 {
-    this->add({ name, "WORD", fmt::format("one of {}", fmt::join(words, ", ")), *target, meaning },
-        [target, words](const std::string& value) {
+    this->add({ name, "WORD", fmt::format("one of {}", fmt::join(choices, ", ")), *target, meaning },
+        [target, choices](const std::string& value) {
             *target = value;
-            return std::find(words.begin(), words.end(), value) != words.end();
+            return std::find(choices.begin(), choices.end(), value) != choices.end();
         });
 }
 
@@ -116,10 +116,10 @@
         commandLine.add(*arguments.back());
     }
     try {
-        std::vector<std::string> words(argv, argv + argc);
-        commandLine.parse(words);
-    } catch (const TCLAP::ArgException& problem) {
-        fmt::print(stderr, "{}: {} {}; see --help\n", this->program, problem.argId(), problem.error());
+        std::vector<std::string> commandLineWords(argv, argv + argc);
+        commandLine.parse(commandLineWords);
+    } catch (const TCLAP::ArgException& exception) {
+        fmt::print(stderr, "{}: {} {}; see --help\n", this->program, exception.argId(), exception.error());
         return badUsage;
     }
     if (help.getValue()) {
@@ -195,8 +195,8 @@
         in6_addr parsed {};
         const bool isIp = inet_pton(AF_INET, host.c_str(), &parsed) == 1 || inet_pton(AF_INET6, host.c_str(), &parsed) == 1;
         const auto port = wholeNumber(text.substr(colon + 1));
-        constexpr std::int64_t highestPort = 65535;
-        return isIp && port && *port >= 0 && *port <= highestPort;
+        constexpr std::int64_t maxPort = 65535;
+        return isIp && port && *port >= 0 && *port <= maxPort;
     }
 
 } // namespace detail
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -40,8 +40,8 @@
     void text(const std::string& name, std::string* target, const std::string& placeholder, const std::string& meaning,
         bool required = false);
 
-    // A whole number within [lowest, highest].
-    void number(const std::string& name, std::int64_t* target, std::int64_t lowest, std::int64_t highest,
+    // A whole number within [minValue, maxValue].
+    void number(const std::string& name, std::int64_t* target, std::int64_t minValue, std::int64_t maxValue,
         const std::string& unit, const std::string& meaning);
 
     // HOST:PORT with an IP number; port 0 is allowed where a free one may be chosen.
@@ -51,7 +51,7 @@
     void addresses(const std::string& name, std::vector<std::string>* target, const std::string& meaning);
 
     // One word out of a list.
-    void choice(const std::string& name, std::string* target, const std::vector<std::string>& words,
+    void choice(const std::string& name, std::string* target, const std::vector<std::string>& choices,
         const std::string& meaning);
 
     // Fills the targets. Empty means "go on"; else the exit code.
--- a/src/base/stop_signal.cc
+++ b/src/base/stop_signal.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-    sigset_t stopSignals(bool withReload)
+    sigset_t handledSignals(bool withReload)
     {
         sigset_t signals;
         sigemptyset(&signals);
@@ -19,10 +19,10 @@
 
 } // namespace
 
-StopSignal::StopSignal(bool takesReload)
-    : takesReload(takesReload)
+StopSignal::StopSignal(bool handlesReload)
+    : handlesReload(handlesReload)
 {
-    const sigset_t signals = stopSignals(takesReload);
+    const sigset_t signals = handledSignals(handlesReload);
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
 }
@@ -34,7 +34,7 @@
 
 Signal StopSignal::next() const
 {
-    const sigset_t signals = stopSignals(this->takesReload);
+    const sigset_t signals = handledSignals(this->handlesReload);
     int received = 0;
     sigwait(&signals, &received);
     return received == SIGHUP ? Signal::Reload : Signal::Stop;
--- a/src/base/stop_signal.h
+++ b/src/base/stop_signal.h
@@ -21,8 +21,8 @@
 public:
     // Blocks the signals on this thread and all threads it starts later; also
     // ignores SIGPIPE, which a peer closing its socket would raise.
-    // With `takesReload` SIGHUP is blocked too; without, it ends the program.
-    explicit StopSignal(bool takesReload = false);
+    // With `handlesReload` SIGHUP is blocked too; without, it ends the program.
+    explicit StopSignal(bool handlesReload = false);
 
     void wait() const;
 
@@ -30,7 +30,7 @@
     Signal next() const;
 
 private:
-    bool takesReload;
+    bool handlesReload;
 };
 
 } // namespace rattan
--- a/src/base/testing/datagram_socket_test.cc
+++ b/src/base/testing/datagram_socket_test.cc
@@ -9,33 +9,33 @@
 class DatagramSocketTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(DatagramSocketTest);
     CPPUNIT_TEST(datagramsArrive);
-    CPPUNIT_TEST(strangeAddressesAreRefused);
-    CPPUNIT_TEST(nothingIsSentBeforeItIsOpen);
+    CPPUNIT_TEST(invalidAddressesAreRejected);
+    CPPUNIT_TEST(unopenedSocketSendsNothing);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void datagramsArrive()
     {
-        DatagramSocket left;
-        DatagramSocket right;
-        CPPUNIT_ASSERT(!attemptVoid([&] { return left.open("127.0.0.1:0"); }));
-        CPPUNIT_ASSERT(!attemptVoid([&] { return right.open("127.0.0.1:0"); }));
-        CPPUNIT_ASSERT(!right.receive());
-        left.send(right.address(), "beat 7");
-        const auto datagram = right.receive(); // On loopback it is there when send returns.
+        DatagramSocket sender;
+        DatagramSocket receiver;
+        CPPUNIT_ASSERT(!attemptVoid([&] { return sender.open("127.0.0.1:0"); }));
+        CPPUNIT_ASSERT(!attemptVoid([&] { return receiver.open("127.0.0.1:0"); }));
+        CPPUNIT_ASSERT(!receiver.receive());
+        sender.send(receiver.address(), "beat 7");
+        const auto datagram = receiver.receive(); // On loopback it is there when send returns.
         CPPUNIT_ASSERT(datagram);
         CPPUNIT_ASSERT_EQUAL(std::string("beat 7"), datagram->text);
-        CPPUNIT_ASSERT_EQUAL(left.address(), datagram->from);
+        CPPUNIT_ASSERT_EQUAL(sender.address(), datagram->from);
     }
 
-    void strangeAddressesAreRefused()
+    void invalidAddressesAreRejected()
     {
         DatagramSocket socket;
-        for (const char* strange : { "", "127.0.0.1", ":80", "localhost:80", "127.0.0.1:99999", "127.0.0.1:x" })
-            CPPUNIT_ASSERT_MESSAGE(strange, attemptVoid([&] { return socket.open(strange); }).has_value());
+        for (const char* address : { "", "127.0.0.1", ":80", "localhost:80", "127.0.0.1:99999", "127.0.0.1:x" })
+            CPPUNIT_ASSERT_MESSAGE(address, attemptVoid([&] { return socket.open(address); }).has_value());
     }
 
-    void nothingIsSentBeforeItIsOpen()
+    void unopenedSocketSendsNothing()
     {
         const DatagramSocket socket;
         socket.send("127.0.0.1:9", "x");
--- a/src/base/testing/strange_input_test.cc
+++ b/src/base/testing/malformed_input_test.cc
@@ -10,16 +10,16 @@
 
 namespace rattan {
 
-class StrangeInputTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(StrangeInputTest);
-    CPPUNIT_TEST(traceparents);
-    CPPUNIT_TEST(jsonFaultsComeTogether);
-    CPPUNIT_TEST(logValuesStayOnTheirLine);
-    CPPUNIT_TEST(metricsAreBounded);
+class MalformedInputTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(MalformedInputTest);
+    CPPUNIT_TEST(malformedTraceparentsAreRejected);
+    CPPUNIT_TEST(jsonErrorsAreReportedTogether);
+    CPPUNIT_TEST(logValuesCannotForgeLines);
+    CPPUNIT_TEST(metricSeriesAreBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void traceparents()
+    void malformedTraceparentsAreRejected()
     {
         const std::string good = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
         CPPUNIT_ASSERT(parseTraceparent(good));
@@ -30,7 +30,7 @@
             CPPUNIT_ASSERT_MESSAGE(text, !parseTraceparent(text));
     }
 
-    void jsonFaultsComeTogether()
+    void jsonErrorsAreReportedTogether()
     {
         const Json json = Json::parse(R"({"key":"","count":1e300,"extra":true})");
         JsonReader reader(json, "test.read");
@@ -44,7 +44,7 @@
 
     // A caller puts a line break into a name. Written as it is, it would forge a
     // log line of its own.
-    void logValuesStayOnTheirLine()
+    void logValuesCannotForgeLines()
     {
         CPPUNIT_ASSERT_EQUAL(std::string("plain"), detail::quoted("plain"));
         CPPUNIT_ASSERT_EQUAL(std::string("\"\""), detail::quoted(""));
@@ -52,15 +52,15 @@
         CPPUNIT_ASSERT_EQUAL(std::string("\"say \\\"hi\\\"\""), detail::quoted("say \"hi\""));
     }
 
-    void metricsAreBounded()
+    void metricSeriesAreBounded()
     {
         Metrics metrics;
-        for (std::size_t i = 0; i < Metrics::maximumSeries + 10; ++i)
+        for (std::size_t i = 0; i < Metrics::maxSeries + 10; ++i)
             metrics.count("sample_total", { { "caller", std::to_string(i) } });
         CPPUNIT_ASSERT(metrics.prometheusText().find("rattan_metrics_dropped_total 10") != std::string::npos);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StrangeInputTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(MalformedInputTest);
 
 } // namespace rattan
--- a/src/base/testing/settings_test.cc
+++ b/src/base/testing/settings_test.cc
@@ -7,7 +7,7 @@
 
 class SettingsTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(SettingsTest);
-    CPPUNIT_TEST(flagWinsOverEnvironment);
+    CPPUNIT_TEST(flagOverridesEnvironment);
     CPPUNIT_TEST(refusesBadValues);
     CPPUNIT_TEST_SUITE_END();
 
@@ -26,7 +26,7 @@
     }
 
 public:
-    void flagWinsOverEnvironment()
+    void flagOverridesEnvironment()
     {
         setenv("RATTAN_LIMIT", "20", 1);
         Sample sample;
--- a/src/base/timed_key.cc
+++ b/src/base/timed_key.cc
@@ -10,10 +10,10 @@
 std::string mintKey(Millis wall)
 {
     constexpr std::size_t randomDigits = 16;
-    return fmt::format("{}-{}", keyStamp(wall), randomHex(randomDigits));
+    return fmt::format("{}-{}", keyTimestamp(wall), randomHex(randomDigits));
 }
 
-std::string keyStamp(Millis wall)
+std::string keyTimestamp(Millis wall)
 {
     constexpr Millis second = 1000;
     const auto time = static_cast<std::time_t>(wall / second);
--- a/src/base/timed_key.h
+++ b/src/base/timed_key.h
@@ -14,6 +14,6 @@
 std::string mintKey(Millis wall);
 
 // The first part of a key minted at that time.
-std::string keyStamp(Millis wall);
+std::string keyTimestamp(Millis wall);
 
 } // namespace rattan
--- a/src/base/trace.cc
+++ b/src/base/trace.cc
@@ -64,13 +64,13 @@
 const SpanContext& currentSpan() { return threadSpan(); }
 
 Span::Span(std::string name, std::optional<SpanContext> parent)
-    : outer(threadSpan())
-    , started(SystemClock().now())
+    : enclosing(threadSpan())
+    , startedAt(SystemClock().now())
 {
-    const SpanContext& above = parent ? *parent : this->outer;
-    this->finished.context.traceId = above.traceId.empty() ? randomHex(traceIdDigits) : above.traceId;
+    const SpanContext& parentContext = parent ? *parent : this->enclosing;
+    this->finished.context.traceId = parentContext.traceId.empty() ? randomHex(traceIdDigits) : parentContext.traceId;
     this->finished.context.spanId = randomHex(spanIdDigits);
-    this->finished.parentId = above.spanId;
+    this->finished.parentId = parentContext.spanId;
     this->finished.name = std::move(name);
     this->finished.startWall = SystemClock().wall();
     threadSpan() = this->finished.context;
@@ -78,8 +78,8 @@
 
 Span::~Span()
 {
-    threadSpan() = this->outer;
-    this->finished.durationMs = SystemClock().now() - this->started;
+    threadSpan() = this->enclosing;
+    this->finished.durationMs = SystemClock().now() - this->startedAt;
     SpanStore& store = spanStore();
     const std::lock_guard lock(store.mutex);
     if (store.exporter)
@@ -89,21 +89,21 @@
         store.spans.pop_front();
 }
 
-void Span::note(std::string key, std::string value)
+void Span::addAttribute(std::string key, std::string value)
 {
-    this->finished.notes.emplace_back(std::move(key), std::move(value));
+    this->finished.attributes.emplace_back(std::move(key), std::move(value));
 }
 
 std::vector<FinishedSpan> spansOf(std::string_view traceId)
 {
     SpanStore& store = spanStore();
     const std::lock_guard lock(store.mutex);
-    std::vector<FinishedSpan> found;
+    std::vector<FinishedSpan> spans;
     for (const FinishedSpan& span : store.spans) {
         if (span.context.traceId == traceId)
-            found.push_back(span);
+            spans.push_back(span);
     }
-    return found;
+    return spans;
 }
 
 void setSpanExporter(std::function<void(const FinishedSpan&)> exporter)
--- a/src/base/trace.h
+++ b/src/base/trace.h
@@ -3,7 +3,7 @@
 // Traces: a span for each hop of a request, joined by W3C traceparent headers.
 //
 //     Span span("entry.request", parentFromHeader);   // current on this thread
-//     span.note("workspace", workspace);
+//     span.addAttribute("workspace", workspace);
 //     forward(..., currentSpan().traceparent());       // the next hop's parent
 //
 // A finished span goes to a bounded in-memory store (oldest first out) from
@@ -39,7 +39,7 @@
     std::string program;
     Millis startWall { 0 };
     Millis durationMs { 0 };
-    std::vector<std::pair<std::string, std::string>> notes;
+    std::vector<std::pair<std::string, std::string>> attributes;
 };
 
 // The span that is current on this thread; an empty context if none is.
@@ -55,12 +55,12 @@
     Span& operator=(const Span&) = delete;
 
     const SpanContext& context() const { return this->finished.context; }
-    void note(std::string key, std::string value);
+    void addAttribute(std::string key, std::string value);
 
 private:
     FinishedSpan finished;
-    SpanContext outer;
-    Millis started;
+    SpanContext enclosing;
+    Millis startedAt;
 };
 
 // Every stored span of a trace, in order of finishing.
--- a/src/bin/rattan_driver.cc
+++ b/src/bin/rattan_driver.cc
@@ -52,7 +52,7 @@
         fmt::print(stderr, "rattan-driver: {}\n", fault);
         return Settings::badUsage;
     }
-    startLog("rattan-driver", options.instance, levelNamed(options.logLevel));
+    startLog("rattan-driver", options.instance, parseLevel(options.logLevel));
     const StopSignal stop;
     return serve(options, stop);
 }
--- a/src/bin/rattan_planner.cc
+++ b/src/bin/rattan_planner.cc
@@ -10,6 +10,6 @@
     rattan::planner::declareSettings(settings, options);
     if (const auto code = settings.parse(argc, argv))
         return *code;
-    rattan::startLog("rattan-planner", options.instance, rattan::levelNamed(options.logLevel));
+    rattan::startLog("rattan-planner", options.instance, rattan::parseLevel(options.logLevel));
     return rattan::planner::runPlanner(options);
 }
--- a/src/config/ledger.cc
+++ b/src/config/ledger.cc
@@ -25,21 +25,21 @@
     Result<Publication> parsePublication(const Json& record)
     {
         JsonReader reader(record, "config.publish");
-        reader.allowUnknown();
+        reader.allowUnknownFields();
         Publication publication;
         publication.amends = reader.number("amends", 0, highestVersion);
         publication.yaml = reader.text("text", 1, maximumTextBytes);
         publication.author = reader.textOr("author", "", longestId);
         publication.id = reader.textOr("publication", "", longestId);
         if (reader.number("version", 1, highestVersion) != publication.amends + 1)
-            reader.fault("version must be one above amends");
+            reader.addError("version must be one above amends");
         return reader.finish(std::move(publication));
     }
 
     Result<Checkpoint> parseCheckpoint(const Json& record)
     {
         JsonReader reader(record, "config.restate");
-        reader.allowUnknown();
+        reader.allowUnknownFields();
         Checkpoint checkpoint;
         checkpoint.number = reader.number("version", 1, highestVersion);
         checkpoint.yaml = reader.text("text", 1, maximumTextBytes);
--- a/src/delivery/delivery_thread.h
+++ b/src/delivery/delivery_thread.h
@@ -12,8 +12,8 @@
 // the peer cannot be reached, closes, or does not take a batch within half a second; the
 // next batch opens another. All other methods are for one other thread, which never waits.
 
+#include "base/bounded_queue.h"
 #include "base/error.h"
-#include "base/ring.h"
 #include "delivery/delivery_port.h"
 
 #include <atomic>
@@ -62,8 +62,8 @@
 
     std::string listenAddress;
     std::function<void()> wakeOther;
-    BoundedRing<Command> commands;
-    BoundedRing<DeliveryEvent> events;
+    BoundedQueue<Command> commands;
+    BoundedQueue<DeliveryEvent> events;
     int waker { -1 }; // An eventfd that ends the thread's wait.
     std::atomic<bool> stopping { false };
     std::atomic<bool> failed { false };
--- a/src/delivery/testing/delivery_thread_test.cc
+++ b/src/delivery/testing/delivery_thread_test.cc
@@ -34,7 +34,7 @@
         }
     }
 
-    BoundedRing<int> wakes { 10000 };
+    BoundedQueue<int> wakes { 10000 };
     DeliveryThread deliveries;
 };
 
--- a/src/driver/runtime.h
+++ b/src/driver/runtime.h
@@ -11,7 +11,7 @@
 //     runtime.drain();             // no new gangs; waits for the handover
 //     runtime.stop();
 
-#include "base/ring.h"
+#include "base/bounded_queue.h"
 #include "driver/gang_keeper.h"
 #include "driver/options.h"
 #include "platform/instance_list.h"
@@ -68,7 +68,7 @@
     bool stopping { false };
     bool draining { false };
     bool nudged { false };
-    BoundedRing<WorkerAsk> asks;
+    BoundedQueue<WorkerAsk> asks;
     std::vector<std::thread> threads;
 };
 
--- a/src/entry/api.cc
+++ b/src/entry/api.cc
@@ -25,7 +25,7 @@
     Json toJson(const FinishedSpan& span)
     {
         Json notes = Json::object();
-        for (const auto& [key, value] : span.notes)
+        for (const auto& [key, value] : span.attributes)
             notes[key] = value;
         return { { "trace", span.context.traceId }, { "span", span.context.spanId }, { "parent", span.parentId },
             { "name", span.name }, { "program", span.program }, { "start_ms", span.startWall },
@@ -81,10 +81,10 @@
     server.route(method, pattern, [this, method, pattern, audience, handler = std::move(handler)](const http::Request& request) {
         const InFlight counted(this->parts.state);
         Span span("entry.http", parseTraceparent(request.header("traceparent")));
-        span.note("call", method + " " + pattern);
+        span.addAttribute("call", method + " " + pattern);
         auto answer = attempt([&]() -> Result<http::Answer> {
             BOOST_LEAF_AUTO(caller, this->admit(request, audience));
-            span.note("caller", caller.name);
+            span.addAttribute("caller", caller.name);
             return handler(caller, request);
         });
         http::Answer result = answer ? std::move(*answer) : http::errorAnswer(answer.error);
@@ -92,7 +92,7 @@
         // The balancer keeps connections; this one is leaving and wants them gone.
         if (this->parts.state.leaving)
             result.headers.emplace_back("Connection", "close");
-        span.note("status", fmt::to_string(result.status));
+        span.addAttribute("status", fmt::to_string(result.status));
         this->parts.metrics.count("rattan_entry_http_total", { { "call", method + " " + pattern }, { "status", fmt::to_string(result.status) } });
         return result;
     });
--- a/src/entry/claim_key.cc
+++ b/src/entry/claim_key.cc
@@ -35,7 +35,7 @@
     parts.tm_sec = numberAt(key, 13, 2);
     const Millis time = static_cast<Millis>(timegm(&parts)) * 1000;
     // timegm carries the 31st of a short month into the next; such a stamp is refused.
-    if (keyStamp(time) != key.substr(0, stampLength))
+    if (keyTimestamp(time) != key.substr(0, stampLength))
         return std::nullopt;
     return time;
 }
--- a/src/entry/claim_record.cc
+++ b/src/entry/claim_record.cc
@@ -60,7 +60,7 @@
 std::optional<ClaimRecord> parseClaimRecord(const Json& json)
 {
     JsonReader reader(json, "claims.record");
-    reader.allowUnknown();
+    reader.allowUnknownFields();
     ClaimRecord record;
     const std::string kind = reader.text("kind", 1, longestText);
     if (kind == "mark")
--- a/src/entry/forwarder.cc
+++ b/src/entry/forwarder.cc
@@ -57,7 +57,7 @@
 {
     const Millis started = this->clock.now();
     Span span("entry.forward");
-    span.note("executor", slot.executor);
+    span.addAttribute("executor", slot.executor);
     platform::ExecutorReply reply;
     if (started >= order.deadline) {
         reply.fate = platform::ForwardFate::NotSent;
@@ -67,7 +67,7 @@
     }
     const Millis took = this->clock.now() - started;
     this->gate.release(slot, reply.fate, took);
-    span.note("fate", std::string(nameOf(reply.fate)));
+    span.addAttribute("fate", std::string(nameOf(reply.fate)));
     if (reply.fate == platform::ForwardFate::Unclear)
         logEvent(answerRejected, { { "executor", slot.executor }, { "why", reply.error.message } });
     this->metrics.observe("rattan_entry_forward_seconds", { { "service", order.service } }, static_cast<double>(took) / 1000);
--- a/src/entry/job_order.cc
+++ b/src/entry/job_order.cc
@@ -59,10 +59,10 @@
         return fail(ErrorCode::BadInput, std::string(step), peer, "a JSON object is expected");
     JobOrder order;
     JsonReader reader(json, std::string(step), peer);
-    reader.allowUnknown();
+    reader.allowUnknownFields();
     order.key = reader.textOr("key", "", records::longestJobKey);
     if (!isPlainName(order.key))
-        reader.fault("key may hold letters, digits and . _ : @ + - only");
+        reader.addError("key may hold letters, digits and . _ : @ + - only");
     if (auto error = reader.error())
         return fail(std::move(*error));
     const Json none;
--- a/src/entry/request_order.cc
+++ b/src/entry/request_order.cc
@@ -39,9 +39,9 @@
     const Json nothing;
     const Json& content = reader.anyOr("body", nothing);
     if (!isPlainName(order.service) || !isPlainName(order.operation) || !isPlainName(order.key))
-        reader.fault("service, operation and key may hold letters, digits and . _ : @ + - only");
+        reader.addError("service, operation and key may hold letters, digits and . _ : @ + - only");
     if (!order.key.empty() && !order.ticket.empty())
-        reader.fault("either a key or a ticket is expected, not both");
+        reader.addError("either a key or a ticket is expected, not both");
     if (content.is_string())
         order.body = content.get<std::string>();
     else if (!content.is_null())
--- a/src/entry/span_exporter.cc
+++ b/src/entry/span_exporter.cc
@@ -20,7 +20,7 @@
     Json toOtlp(const FinishedSpan& span)
     {
         Json attributes = Json::array();
-        for (const auto& [key, value] : span.notes)
+        for (const auto& [key, value] : span.attributes)
             attributes.push_back(attribute(key, value));
         // OTLP's JSON writes 64-bit numbers as text.
         return { { "traceId", span.context.traceId }, { "spanId", span.context.spanId }, { "parentSpanId", span.parentId },
--- a/src/entry/span_exporter.h
+++ b/src/entry/span_exporter.h
@@ -10,7 +10,7 @@
 // costs spans, counted and logged, and never time of a request. Of all
 // exporters in a process the one started last gets the spans.
 
-#include "base/ring.h"
+#include "base/bounded_queue.h"
 #include "base/trace.h"
 #include "http/client.h"
 
@@ -43,7 +43,7 @@
     const std::string collector;
     const std::string service;
     const std::string instance;
-    BoundedRing<FinishedSpan> ring { mostWaiting };
+    BoundedQueue<FinishedSpan> ring { mostWaiting };
     http::Client client;
     std::atomic<std::uint64_t> lost { 0 };
     std::thread thread;
--- a/src/entry/testing/span_exporter_test.cc
+++ b/src/entry/testing/span_exporter_test.cc
@@ -33,7 +33,7 @@
             Span outer("outer");
             outerId = outer.context().spanId;
             Span inner("inner");
-            inner.note("executor", "x1");
+            inner.addAttribute("executor", "x1");
         }
         exporter.stop();
         const std::lock_guard lock(mutex);
--- a/src/entry/ticket_client.cc
+++ b/src/entry/ticket_client.cc
@@ -53,7 +53,7 @@
 Outcome RpcTicketClient::use(const Ticket& ticket, const std::string& workspace, const RequestOrder& order, Millis deadlineIn)
 {
     Span span("entry.use_ticket");
-    span.note("owner", ticket.address);
+    span.addAttribute("owner", ticket.address);
     rpc::Link<rpc::Entry> owner(ticket.address);
     auto outcome = attempt([&] {
         return owner.call<Outcome>(
--- a/src/entry/ticket_workers.h
+++ b/src/entry/ticket_workers.h
@@ -5,7 +5,7 @@
 // The RPC thread must not block, and a request does; so the RPC service hands
 // them to these threads through a bounded ring. A full ring refuses at once.
 
-#include "base/ring.h"
+#include "base/bounded_queue.h"
 
 #include <functional>
 #include <thread>
@@ -51,7 +51,7 @@
             (*task)();
     }
 
-    BoundedRing<Task> ring;
+    BoundedQueue<Task> ring;
     std::vector<std::thread> threads;
 };
 
--- a/src/instance/control_loop.h
+++ b/src/instance/control_loop.h
@@ -13,9 +13,9 @@
 // Callers' threads reach it through a bounded ring; when that is full, a request
 // is refused at once.
 
+#include "base/bounded_queue.h"
 #include "base/datagram_socket.h"
 #include "base/metrics.h"
-#include "base/ring.h"
 #include "delivery/delivery_thread.h"
 #include "delivery/order_carrier.h"
 #include "delivery/relay_roster.h"
@@ -143,7 +143,7 @@
     std::unique_ptr<Leadership> leadership;
     std::shared_ptr<const tasks::Catalog> catalog;
 
-    BoundedRing<Command> commands;
+    BoundedQueue<Command> commands;
     std::map<std::uint64_t, Asked> asked;
     std::uint64_t lastTicket { 0 };
     bool appendUnderWay { false };
--- a/src/planner/decision_loop.cc
+++ b/src/planner/decision_loop.cc
@@ -23,7 +23,7 @@
 } // namespace
 
 DecisionLoop::DecisionLoop(const PlannerOptions& options, std::string incarnation, SharedPlanner& shared,
-    BoundedRing<JobTailItem>& ring, LogWriter& writer, const JobTail& tail, peers::Peers& peers)
+    BoundedQueue<JobTailItem>& ring, LogWriter& writer, const JobTail& tail, peers::Peers& peers)
     : options(options)
     , incarnation(std::move(incarnation))
     , shared(shared)
--- a/src/planner/decision_loop.h
+++ b/src/planner/decision_loop.h
@@ -10,7 +10,7 @@
 // One turn lasts at most turn-ms when nothing comes, and starts at once when a
 // job record comes, so that an urgent job waits for no timer.
 
-#include "base/ring.h"
+#include "base/bounded_queue.h"
 #include "peers/peers.h"
 #include "planner/domain_planner.h"
 #include "planner/driver_link.h"
@@ -37,7 +37,7 @@
 
 class DecisionLoop {
 public:
-    DecisionLoop(const PlannerOptions&, std::string incarnation, SharedPlanner&, BoundedRing<JobTailItem>&, LogWriter&,
+    DecisionLoop(const PlannerOptions&, std::string incarnation, SharedPlanner&, BoundedQueue<JobTailItem>&, LogWriter&,
         const JobTail&, peers::Peers&);
     ~DecisionLoop();
 
@@ -60,7 +60,7 @@
     const PlannerOptions& options;
     const std::string incarnation;
     SharedPlanner& shared;
-    BoundedRing<JobTailItem>& ring;
+    BoundedQueue<JobTailItem>& ring;
     LogWriter& writer;
     const JobTail& tail;
     peers::Peers& peers;
--- a/src/planner/job_tail.cc
+++ b/src/planner/job_tail.cc
@@ -14,7 +14,7 @@
 
 } // namespace
 
-JobTail::JobTail(platform::Log& log, const std::string& domain, BoundedRing<JobTailItem>* ring)
+JobTail::JobTail(platform::Log& log, const std::string& domain, BoundedQueue<JobTailItem>* ring)
     : log(log)
     , stream(records::jobStream(domain))
     , ring(ring)
--- a/src/planner/job_tail.h
+++ b/src/planner/job_tail.h
@@ -2,7 +2,7 @@
 
 // Follows `jobs.<domain>` on a thread of its own and hands the records on.
 //
-//     BoundedRing<JobTailItem> ring(4096);
+//     BoundedQueue<JobTailItem> ring(4096);
 //     JobTail tail(log, domain, &ring);
 //     tail.start();
 //
@@ -12,7 +12,7 @@
 // stays bounded; nothing is dropped. A record that does not parse is logged and
 // passed over, the same at every reader.
 
-#include "base/ring.h"
+#include "base/bounded_queue.h"
 #include "platform/log.h"
 #include "records/job_record.h"
 
@@ -33,7 +33,7 @@
 
 class JobTail {
 public:
-    JobTail(platform::Log&, const std::string& domain, BoundedRing<JobTailItem>* ring);
+    JobTail(platform::Log&, const std::string& domain, BoundedQueue<JobTailItem>* ring);
     ~JobTail();
 
     void start();
@@ -52,7 +52,7 @@
 
     platform::Log& log;
     const std::string stream;
-    BoundedRing<JobTailItem>* ring;
+    BoundedQueue<JobTailItem>* ring;
     std::uint64_t next { 0 };
     std::uint64_t failures { 0 };
     std::atomic<bool> atEnd { false };
--- a/src/planner/program.cc
+++ b/src/planner/program.cc
@@ -36,7 +36,7 @@
     platform::HttpInstanceList list(options.instances, std::chrono::milliseconds(options.logTimeoutMs),
         { .kinds = { platform::InstanceKind::Entry } });
     SharedPlanner shared({ .domain = options.domain, .incarnation = incarnation, .seed = static_cast<std::uint64_t>(options.seed), .retention = options.retentionSeconds * 1000 });
-    BoundedRing<JobTailItem> ring(recordRing);
+    BoundedQueue<JobTailItem> ring(recordRing);
     JobTail tail(log, options.domain, &ring);
     LogWriter writer(log, options.domain);
     peers::InstanceReport own;
--- a/src/platform/instance_list.cc
+++ b/src/platform/instance_list.cc
@@ -48,13 +48,13 @@
 Result<Instance> parseInstance(const Json& json, const std::string& peer)
 {
     JsonReader reader(json, "instances.read", peer);
-    reader.allowUnknown();
+    reader.allowUnknownFields();
     Instance instance;
     instance.id = reader.text("id", 1, longestName);
     const std::string kind = reader.text("kind", 1, longestName);
     const auto known = instanceKindNamed(kind);
     if (!known)
-        reader.fault("kind must be entry, executor or worker");
+        reader.addError("kind must be entry, executor or worker");
     instance.kind = known.value_or(InstanceKind::Entry);
     instance.domain = reader.text("domain", 1, longestName);
     instance.leaving = reader.textOr("state", "live", longestName) == "leaving";
@@ -98,7 +98,7 @@
         return this->lastRead;
     BOOST_LEAF_AUTO(json, detail::jsonReply(reply, "instances.read", this->address));
     JsonReader reader(json, "instances.read", this->address);
-    reader.allowUnknown();
+    reader.allowUnknownFields();
     std::vector<Instance> instances;
     for (const Json& item : reader.array("instances", mostInstances)) {
         BOOST_LEAF_AUTO(instance, parseInstance(item, this->address));
--- a/src/platform/log.cc
+++ b/src/platform/log.cc
@@ -13,14 +13,14 @@
     Result<LogPage> parsePage(const Json& json, const std::string& address)
     {
         JsonReader reader(json, "log.read", address);
-        reader.allowUnknown();
+        reader.allowUnknownFields();
         LogPage page;
         constexpr std::int64_t highest = std::numeric_limits<std::int64_t>::max();
         page.firstKept = static_cast<std::uint64_t>(reader.number("first_kept", 0, highest));
         page.next = static_cast<std::uint64_t>(reader.number("next", 0, highest));
         for (const Json& item : reader.array("records", 100000)) {
             JsonReader record(item, "log.read", address);
-            record.allowUnknown();
+            record.allowUnknownFields();
             LogRecord parsed;
             parsed.offset = static_cast<std::uint64_t>(record.number("offset", 0, highest));
             parsed.atWall = record.number("at_ms", 0, highest);
@@ -52,7 +52,7 @@
     call.once = true;
     BOOST_LEAF_AUTO(json, detail::jsonReply(this->client.send(call), "log.append", this->address));
     JsonReader reader(json, "log.append", this->address);
-    reader.allowUnknown();
+    reader.allowUnknownFields();
     AppendDone done;
     constexpr std::int64_t highest = std::numeric_limits<std::int64_t>::max();
     done.first = static_cast<std::uint64_t>(reader.number("first", 0, highest));
--- a/src/platform/worker.cc
+++ b/src/platform/worker.cc
@@ -24,7 +24,7 @@
     {
         const auto index = indexOfName(names, name);
         if (!index)
-            reader.fault("'" + name + "' is not a known name");
+            reader.addError("'" + name + "' is not a known name");
         return index.value_or(0);
     }
 
@@ -90,7 +90,7 @@
     Result<WorkerLease> parseLease(const Json& json, const std::string& peer)
     {
         JsonReader reader(json, "worker.report", peer);
-        reader.allowUnknown();
+        reader.allowUnknownFields();
         WorkerLease lease;
         lease.lease = reader.text("lease", 1, longestName);
         lease.epoch = static_cast<std::uint64_t>(reader.numberOr("epoch", 0, 0, std::numeric_limits<std::int64_t>::max()));
@@ -153,7 +153,7 @@
 Result<WorkerReport> parseReport(const Json& json, const std::string& peer)
 {
     JsonReader reader(json, "worker.report", peer);
-    reader.allowUnknown();
+    reader.allowUnknownFields();
     WorkerReport report;
     report.worker = reader.text("worker", 1, longestName);
     report.incarnation = reader.textOr("incarnation", "", longestName);
@@ -168,7 +168,7 @@
     report.memoryMb = capacity.numberOr("memory_mb", 0, 0, highestAmount);
     for (const Json& item : reader.array("results", mostOps)) {
         JsonReader result(item, "worker.report", peer);
-        result.allowUnknown();
+        result.allowUnknownFields();
         report.results.push_back({ result.flagOr("ok", false), result.textOr("code", "", longestName), result.textOr("message", "", longestText) });
     }
     for (const Json& item : reader.array("leases", mostOps)) {
--- a/src/records/job_record.cc
+++ b/src/records/job_record.cc
@@ -22,7 +22,7 @@
     {
         const auto index = indexOfName(names, name);
         if (!index)
-            reader.fault("'" + name + "' is not a known name");
+            reader.addError("'" + name + "' is not a known name");
         return index.value_or(0);
     }
 
