--- a/src/base/bounded_queue.h
+++ b/src/base/bounded_queue.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// A bounded queue that joins two threads.
+// A bounded first-in, first-out queue between threads.
 //
 //     BoundedQueue<Job> queue(1024);
-//     if (!queue.tryPush(job))        // full: the caller answers "overloaded"
+//     if (!queue.tryPush(job))        // full: report "overloaded"
 //         return fail(ErrorCode::Overloaded, ...);
-//     while (auto job = queue.pop())  // empty optional once closed and drained
+//     while (auto job = queue.pop())  // nullopt once closed and drained
 //         run(*job);
 //
-// It never grows past its capacity, so a slow consumer shows up as a refused
-// tryPush, or as a push that waits, and not as memory. Any number of threads may
-// push and pop.
+// The queue never grows beyond its capacity: if the consumer is slow, tryPush()
+// returns false or push() waits, and memory use does not grow. Thread-safe for any
+// number of producers and consumers.
 
 #include <chrono>
 #include <condition_variable>
@@ -29,7 +29,7 @@
     {
     }
 
-    // False when the ring is full or closed; the value is then untouched.
+    // Returns false and leaves `value` unchanged if the queue is full or closed.
     bool tryPush(T&& value)
     {
         {
@@ -42,7 +42,8 @@
         return true;
     }
 
-    // Waits for room; false once the ring is closed.
+    // Waits while the queue is full. Returns false and leaves `value` unchanged if the queue
+    // is closed.
     bool push(T&& value)
     {
         {
@@ -56,7 +57,7 @@
         return true;
     }
 
-    // Waits for a value; empty once the ring is closed and drained.
+    // Waits for a value. Returns nullopt once the queue is closed and drained.
     std::optional<T> pop()
     {
         std::unique_lock lock(this->mutex);
@@ -64,7 +65,8 @@
         return this->takeFirst();
     }
 
-    // Waits at most this long; empty when nothing came.
+    // Waits for a value for at most `timeout`. Returns nullopt if none arrived, or once the
+    // queue is closed and drained.
     std::optional<T> popFor(std::chrono::milliseconds timeout)
     {
         std::unique_lock lock(this->mutex);
@@ -72,7 +74,7 @@
         return this->takeFirst();
     }
 
-    // Refuses further pushes and wakes every waiting pop.
+    // Rejects further pushes and wakes all waiting threads.
     void close()
     {
         {
@@ -96,6 +98,7 @@
     }
 
 private:
+    // Removes the first value, if any. The caller holds the mutex.
     std::optional<T> takeFirst()
     {
         if (this->values.empty())
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,9 +1,11 @@
 #pragma once
 
-// Time as the decisions and protocols see it: whole milliseconds since some
-// fixed moment. Code that decides takes a time or a Clock; only SystemClock
-// asks the machine. Tests use ManualClock, so that no verdict hangs on how
-// fast the test machine is.
+// Time for decisions and protocols, in whole milliseconds since a fixed but
+// unspecified moment.
+//
+// Code whose result depends on time takes a time or a Clock as a parameter; only
+// SystemClock reads the clocks of the system. Tests use ManualClock, so that their
+// results do not depend on the speed of the test machine.
 
 #include <atomic>
 #include <cstdint>
@@ -16,11 +18,12 @@
 public:
     virtual ~Clock() = default;
 
-    // Never goes back; counts the time the machine was suspended too
-    // (CLOCK_BOOTTIME), so a lease cannot outlive its holder's sleep.
+    // The monotonic time. It includes time during which the machine was suspended
+    // (CLOCK_BOOTTIME), so that a lease also expires while its holder is suspended.
     virtual Millis now() const = 0;
 
-    // Milliseconds since 1970 UTC; may jump. For timestamps in records only.
+    // The wall-clock time in milliseconds since 1970 UTC. It may jump in either
+    // direction, so it is used only for timestamps in records.
     virtual Millis wall() const = 0;
 };
 
@@ -30,7 +33,7 @@
     Millis wall() const override;
 };
 
-// A clock that moves only when told to. Any thread may read or move it.
+// A clock that changes only by calls to advance(). Thread-safe.
 class ManualClock final : public Clock {
 public:
     Millis now() const override { return this->time; }
--- a/src/base/datagram_socket.cc
+++ b/src/base/datagram_socket.cc
@@ -70,7 +70,7 @@
     const auto name = parseAddress(address);
     if (this->socket < 0 || !name)
         return;
-    // What is not taken now is said again by the sender.
+    // Errors are ignored because callers send their messages again periodically.
     static_cast<void>(sendto(this->socket, text.data(), std::min(text.size(), maxDatagramBytes), 0, reinterpret_cast<const sockaddr*>(&*name), sizeof(*name)));
 }
 
@@ -83,7 +83,7 @@
     socklen_t size = sizeof(from);
     const ssize_t receivedBytes = recvfrom(this->socket, buffer.data(), buffer.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (receivedBytes < 0)
-        return std::nullopt; // Nothing there; or a peer's refusal, which its silence shows as well.
+        return std::nullopt; // No datagram, or an error that a peer reported; callers detect a dead peer by its silence.
     return Datagram { textOf(from), std::string(buffer.data(), static_cast<std::size_t>(receivedBytes)) };
 }
 
--- a/src/base/datagram_socket.h
+++ b/src/base/datagram_socket.h
@@ -1,15 +1,16 @@
 #pragma once
 
-// A UDP socket that never blocks.
+// A non-blocking UDP socket.
 //
 //     DatagramSocket socket;
 //     if (auto error = attemptVoid([&] { return socket.open("10.1.0.7:7000"); })) ...
 //     socket.send("10.2.0.9:7000", "beat 7");
 //     while (auto datagram = socket.receive()) ...
 //
-// Datagrams may be lost, repeated and overtaken, and a send that the kernel does not
-// take is dropped: only for what is said again anyway. At most 512 bytes each; longer
-// ones are cut off. Not thread-safe.
+// Datagrams may be lost, duplicated or reordered, and a datagram that the kernel does
+// not accept is dropped without an error. Use it only for messages that are sent again
+// periodically. A datagram holds at most 512 bytes; longer ones are truncated.
+// Addresses are IPv4 addresses with a port. Not thread-safe.
 
 #include "base/error.h"
 
@@ -19,7 +20,7 @@
 namespace rattan {
 
 struct Datagram {
-    std::string from; // IP:PORT
+    std::string from; // The sender's address, as IP:PORT.
     std::string text;
 };
 
@@ -30,13 +31,19 @@
     DatagramSocket(const DatagramSocket&) = delete;
     DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-    // Unavailable when the address cannot be taken; until then nothing is sent or received.
+    // Binds the socket to `address`. Fails with BadInput if the address is not IP:PORT, and
+    // with Unavailable if the socket cannot be created or bound. Before the first success,
+    // send() and receive() do nothing.
     Result<void> open(const std::string& address);
 
+    // Sends one datagram; drops it if `address` is invalid or the kernel does not accept it.
     void send(const std::string& address, const std::string& text) const;
+
+    // The next received datagram, or nullopt if there is none.
     std::optional<Datagram> receive() const;
 
-    // The address in use, with the port that was chosen for port 0.
+    // The bound address, with the port that the kernel chose if port 0 was requested. Empty
+    // if the socket is not open.
     std::string address() const;
 
 private:
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,12 +1,11 @@
 #pragma once
 
-// Errors that travel between libraries and, in the end, to a caller.
+// Errors that are passed between libraries and finally returned to a caller.
 //
 // A function that can fail returns Result<T>, a Boost.LEAF result. It fails by
 // returning fail(...), which carries one Error: a code from a closed list, the
-// step that failed, the peer it was talking to (empty if none), a sentence for
-// people, and how long to wait before asking again (zero if asking again is
-// useless).
+// step that failed, the peer involved (empty if none), a human-readable
+// sentence, and the time to wait before a retry (zero if a retry cannot help).
 //
 //     Result<int> parsePort(std::string_view text);
 //
@@ -14,8 +13,8 @@
 //     if (!port.value)
 //         logEvent(..., { { "step", port.error.step } });
 //
-// Errors are plain values and may be copied between threads. This header does
-// not map errors to HTTP answers; http/answer.h does.
+// Errors are plain values and may be copied between threads. The mapping from
+// errors to HTTP responses is in http/answer.h.
 
 #include <boost/leaf.hpp>
 #include <chrono>
@@ -30,33 +29,34 @@
 using Result = boost::leaf::result<T>;
 
 enum class ErrorCode {
-    BadInput, // The request can never be right as it stands.
-    Unauthorized, // No token, or a token nobody holds.
-    Forbidden, // A known caller asks for what it may not have.
+    BadInput, // The request is invalid; sending it again unchanged cannot succeed.
+    Unauthorized, // The token is missing or unknown.
+    Forbidden, // The caller is authenticated but lacks the permission.
     NotFound,
     MethodNotAllowed,
     TooLarge,
-    Conflict, // Somebody else's change came first.
-    Infeasible, // Well formed, but can never run here.
-    Overloaded, // A limit is reached; later may work.
-    Unavailable, // A peer or the platform is down; nothing was done.
-    Timeout, // The deadline passed; what was asked may have been done.
-    Interrupted, // The peer was reached and the answer was not whole.
-    Internal, // A fault of this program.
+    Conflict, // A concurrent change was applied first.
+    Infeasible, // The request is well formed, but can never run here.
+    Overloaded, // A limit is reached; a later retry may succeed.
+    Unavailable, // A peer or the platform is down; the operation was not done.
+    Timeout, // The deadline passed; the operation may or may not have been done.
+    Interrupted, // The peer was reached, but its response was incomplete.
+    Internal, // A bug in this program.
 };
 
-// The name used in JSON answers and logs, for example "bad_input".
+// The code's name in JSON responses and logs, for example "bad_input".
 std::string_view nameOf(ErrorCode);
 
 struct Error {
     ErrorCode code { ErrorCode::Internal };
-    std::string step; // What was being done, e.g. "log.append".
-    std::string peer; // Address or id of the other side; may be empty.
-    std::string message; // One sentence for a person.
+    std::string step; // The operation that failed, e.g. "log.append".
+    std::string peer; // Address or id of the peer; may be empty.
+    std::string message; // One human-readable sentence.
+    // The time to wait before a retry; zero if a retry cannot help.
     std::chrono::milliseconds retryAfter { 0 };
 };
 
-// Builds the failed result that Result<T> functions return.
+// Creates the failed result that a function of type Result<T> returns.
 inline boost::leaf::error_id fail(Error error) { return boost::leaf::new_error(std::move(error)); }
 
 inline boost::leaf::error_id fail(ErrorCode code, std::string step, std::string peer, std::string message,
@@ -65,7 +65,8 @@
     return fail(Error { code, std::move(step), std::move(peer), std::move(message), retryAfter });
 }
 
-// Either a value or the error that took its place.
+// Holds the value of a successful call or the error of a failed one. `error` is
+// meaningful only if `value` is empty.
 template <typename T>
 struct Attempt {
     std::optional<T> value;
@@ -78,9 +79,10 @@
     const T* operator->() const { return &*this->value; }
 };
 
-// Runs a function returning Result<T> and hands back a plain value or error.
-// LEAF keeps the error object only while a handler is on the stack, so every
-// call from outside a Result function goes through here.
+// Calls a function that returns Result<T> and returns its value or error as a plain
+// object. LEAF keeps an error object only while a handler is on the stack, so code
+// outside of a Result function calls Result functions only through attempt() or
+// attemptVoid().
 template <typename Function>
 auto attempt(Function&& function)
 {
@@ -99,7 +101,8 @@
     return outcome;
 }
 
-// The same for functions that only succeed or fail: no error means success.
+// Calls a function that returns Result<void>, and returns its error or, on success,
+// nullopt.
 template <typename Function>
 std::optional<Error> attemptVoid(Function&& function)
 {
--- a/src/base/json.h
+++ b/src/base/json.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// JSON at the edges, by nlohmann/json.
+// Parsing and validation of JSON input, based on nlohmann/json.
 //
 //     Result<Order> parseOrder(const Json& json)
 //     {
@@ -8,11 +8,12 @@
 //         Order order;
 //         order.key = reader.text("key", 1, 128);
 //         order.count = reader.number("count", 1, 512);
-//         return reader.finish(order);     // one error naming every bad field
+//         return reader.finish(order);     // one error that names every bad field
 //     }
 //
-// Parsing is bounded by the size of the text; depth costs no stack. Fields of
-// the wrong type, out of range, missing or unknown are all reported at once.
+// The cost of parsing is bounded by the size of the text, and nesting uses no stack.
+// Fields that have the wrong type, are out of range, missing or unknown are all
+// reported together, in one BadInput error.
 
 #include "base/error.h"
 
@@ -26,32 +27,41 @@
 
 using Json = nlohmann::json;
 
-// BadInput when the text is not one JSON value. `step` goes into the error.
+// Parses `text`, and fails with BadInput unless it is exactly one JSON value. `step` and
+// `peer` are copied into the error.
 Result<Json> parseJson(std::string_view text, const std::string& step, const std::string& peer = "");
 
+// Reads the fields of one JSON object and collects an error for each invalid field. The
+// object must outlive the reader.
 class JsonReader {
 public:
     JsonReader(const Json& object, std::string step, std::string peer = "");
 
-    // Required fields; the value returned on a fault is a default to go on with.
+    // Read a required field. If it is missing or invalid, an error is added and a substitute
+    // is returned: for text() an empty text or, if only its length is wrong, the text itself;
+    // for number() minValue; for array() an empty array.
     std::string text(const std::string& name, std::size_t minBytes, std::size_t maxBytes);
     std::int64_t number(const std::string& name, std::int64_t minValue, std::int64_t maxValue);
     const Json& array(const std::string& name, std::size_t maxItems);
 
-    // Optional fields.
+    // Read an optional field, or return `fallback` if it is missing. anyOr() accepts every type.
     std::string textOr(const std::string& name, const std::string& fallback, std::size_t maxBytes);
     std::int64_t numberOr(const std::string& name, std::int64_t fallback, std::int64_t minValue, std::int64_t maxValue);
     bool flagOr(const std::string& name, bool fallback);
     const Json& anyOr(const std::string& name, const Json& fallback);
 
     bool has(const std::string& name) const;
+
+    // Adds an error that the caller found.
     void addError(std::string message);
 
-    // Fields that nobody asked for become faults unless they are allowed.
+    // Accepts fields that were not read. Without this call each of them is an error.
     void allowUnknownFields() { this->unknownFieldsAllowed = true; }
 
+    // All errors so far in one BadInput error, or nullopt if there are none.
     std::optional<Error> error() const;
 
+    // Returns `value`, or fails with error() if there is one.
     template <typename T>
     Result<T> finish(T value) const
     {
@@ -61,6 +71,7 @@
     }
 
 private:
+    // The field's value, or null if it is missing, which is an error if it is required.
     const Json* find(const std::string& name, bool required);
 
     const Json& object;
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -1,5 +1,6 @@
-// A line is built whole in memory and written by one fwrite under a mutex, so
-// lines of different threads never mix.
+// A line is formatted completely in memory, and then written by one fwrite or queued for
+// the background writer while a mutex is held, so lines of different threads are not
+// interleaved.
 
 #include "base/log.h"
 
@@ -18,7 +19,7 @@
 namespace {
 
     struct LogState {
-        std::unique_ptr<LogWriter> writer; // Null: lines go to standard error.
+        std::unique_ptr<LogWriter> writer; // If null, lines are written to standard error.
         std::mutex mutex;
         std::string program { "rattan" };
         std::string instance;
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// Structured logs: one line an event on standard error.
+// Structured logging: one line per event, on standard error by default.
 //
 //     inline constexpr Event configAccepted { 1401, "config.accepted", Level::Info,
-//         "A published text became the one in force." };
+//         "A published configuration took effect." };
 //     logEvent(configAccepted, { { "version", version }, { "author", author } });
 //
 // prints  time=... level=info event=1401 name=config.accepted trace=... version=7 ...
-// Each library lists its events in its own events.h; docs/EVENTS.md is held
-// against those lists by a test. Values are quoted when they hold spaces,
-// quotes or control characters. Never pass a token or a request body.
-// Thread-safe; a line is written whole.
+// Each library declares its events in its own events.h; a test compares
+// docs/EVENTS.md with these declarations. Values that are empty or contain spaces, quotes,
+// backslashes, equals signs or control characters are quoted. Never log a token or a
+// request body. Thread-safe; lines of different threads are not interleaved.
 
 #include <cstdint>
 #include <fmt/format.h>
@@ -29,7 +29,7 @@
 
 std::string_view nameOf(Level);
 
-// The level of that name; Info for any other text.
+// The level with this name, or Info if there is none.
 Level parseLevel(std::string_view);
 
 struct Event {
@@ -51,28 +51,27 @@
     }
 };
 
-// Set once at start: the program's name and instance id, and the lowest level
-// that is printed.
+// Sets the program's name, the instance id and the minimum level of the lines that are
+// written. Called once when the program starts.
 void startLog(std::string program, std::string instance, Level minLevel);
 
-// From now on lines go to standard output by a thread of their own: whoever logs
-// never waits, and lines are lost when nobody reads them. stopLog() writes what
-// waits, within a bound.
+// logInBackground() makes a separate thread write all further lines, to standard output.
+// Threads that log then never wait; if the reader of standard output is too slow, lines are
+// dropped. stopLog() writes the queued lines, within a time limit.
 void logInBackground();
 void stopLog();
 
-// Lines that were left out so far.
+// The number of lines dropped so far.
 std::uint64_t droppedLogLines();
 
-//
-// In the background each event may have a bounded number of lines a second. Lines with a
-// variant of their own are counted by themselves, so that a rare one is not left out because
-// of a common one.
+// Writes one line if the event's level is at least the minimum level. With background
+// logging, the number of lines per second is limited for each pair of event and variant, so
+// that a frequent variant of an event does not use up the limit of a rare one.
 void logEvent(const Event&, std::initializer_list<LogField> = {}, std::string_view variant = {});
 
 namespace detail {
 
-    // The value as it stands in a log line, quoted if it has to be.
+    // The value as it is written to a log line, quoted if necessary.
     std::string quoted(std::string_view);
 
 } // namespace detail
--- a/src/base/log_writer.cc
+++ b/src/base/log_writer.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-    // False when the reader is gone.
+    // Returns false if a write fails, for example because the reader has closed its end.
     bool writeAll(int descriptor, const std::string& text)
     {
         std::size_t written = 0;
@@ -50,7 +50,7 @@
 
 LogWriter::~LogWriter() { this->stop(); }
 
-// The lines of this source in the present second, with this one.
+// Counts one line, and returns the number of lines of this source in the current second.
 std::int64_t LogWriter::countLine(const LogSource& source)
 {
     const auto second = std::chrono::duration_cast<std::chrono::seconds>(std::chrono::steady_clock::now().time_since_epoch()).count();
@@ -82,7 +82,7 @@
     if (this->shared->isThreadDone)
         this->thread.join();
     else
-        this->thread.detach(); // Nobody reads; the program must end all the same.
+        this->thread.detach(); // The reader has stalled, which must not keep the program from ending.
 }
 
 } // namespace rattan
--- a/src/base/log_writer.h
+++ b/src/base/log_writer.h
@@ -1,16 +1,17 @@
 #pragma once
 
-// Writes log lines on a thread of its own, so that whoever logs never waits for
-// whoever reads.
+// Writes log lines on a separate thread, so that a thread that logs never waits for the
+// reader of the log.
 //
 //     LogWriter writer(STDOUT_FILENO, { .maxQueuedLines = 4000 });
 //     writer.write({ 1401, "" }, "time=...\n");
 //     writer.stop();
 //
-// Bounded in three ways: lines that wait, lines of one source in a second, and the time
-// that stop() takes. Of the lines that may wait, half are kept for sources that write
-// little: those explain a failure, and must not be crowded out by routine. What was left
-// out is counted and reported in a line of its own. Thread-safe.
+// There are three limits: the number of queued lines, the number of lines per second of
+// one source, and the duration of stop(). Half of the queue is reserved for sources that
+// write few lines, because these lines explain failures and must not be crowded out by
+// routine ones. Dropped lines are counted, and the count is reported in a separate log
+// line. write() is thread-safe.
 
 #include "base/bounded_queue.h"
 
@@ -26,20 +27,20 @@
 
 namespace rattan {
 
-// What shares a budget: lines of one event, or of one variant of it.
+// Identifies the lines that share a limit: those of one event, or of one variant of it.
 struct LogSource {
     std::uint16_t event { 0 };
     std::string variant;
 
-    // clang-tidy 14 takes the zero that a defaulted comparison is held against for a pointer.
+    // clang-tidy 14 mistakes the zero in a defaulted comparison for a null pointer.
     auto operator<=>(const LogSource&) const = default; // NOLINT(modernize-use-nullptr)
 };
 
 struct LogWriterOptions {
-    std::size_t maxQueuedLines { 4000 }; // Waiting; about 1 MB.
-    std::int64_t maxLinesPerSecond { 300 }; // Of one source.
-    std::int64_t maxRareLinesPerSecond { 30 }; // A source with at most so many lines in a second is rare.
-    std::chrono::milliseconds batchInterval { 100 }; // Lines that come within it share a write.
+    std::size_t maxQueuedLines { 4000 }; // About 1 MB.
+    std::int64_t maxLinesPerSecond { 300 }; // Per source.
+    std::int64_t maxRareLinesPerSecond { 30 }; // Per source; with more lines it may fill only half of the queue.
+    std::chrono::milliseconds batchInterval { 100 }; // Lines that arrive within it are written together.
     std::chrono::milliseconds maxStopTime { 300 };
 };
 
@@ -50,15 +51,18 @@
     LogWriter(const LogWriter&) = delete;
     LogWriter& operator=(const LogWriter&) = delete;
 
+    // Queues a line, or drops and counts it if a limit is reached. Never waits for the reader.
     void write(const LogSource&, std::string line);
 
-    // Writes what waits, if the reader takes it in time.
+    // Writes the queued lines, waiting for at most maxStopTime. If the reader is too slow, the
+    // thread is detached and the remaining lines may be lost.
     void stop();
 
     std::uint64_t droppedLines() const { return this->shared->droppedLines; }
 
 private:
-    // Outlives the writer where its thread is stuck in a write.
+    // State shared with the thread. It outlives the LogWriter if the thread is blocked in a
+    // write when stop() returns.
     struct Shared {
         explicit Shared(std::size_t capacity)
             : queuedLines(capacity)
@@ -70,6 +74,7 @@
         std::atomic<bool> isThreadDone { false };
     };
 
+    // The lines of one source in one second.
     struct Budget {
         std::int64_t second { 0 };
         std::int64_t lineCount { 0 };
--- a/src/base/name_lookup.h
+++ b/src/base/name_lookup.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Finds a name in the table of an enum class, whose values count up from 0.
+// Looks up a name in the name table of an enum class. The enum's values must be 0, 1, 2,
+// ... in the order of the table.
 //
 //     constexpr std::array<std::string_view, 2> colourNames { "red", "blue" };
 //     if (const auto index = indexOfName(colourNames, text))
@@ -13,6 +14,7 @@
 
 namespace rattan {
 
+// The index of `name` in `names`, or nullopt if it is not there.
 template <std::size_t count>
 constexpr std::optional<std::size_t> indexOfName(const std::array<std::string_view, count>& names, std::string_view name)
 {
--- a/src/base/periodic_thread.h
+++ b/src/base/periodic_thread.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// A thread that runs one callback again and again, with a pause in between, until it
-// is stopped.
+// A thread that calls a function repeatedly, with a fixed delay between the end of one
+// call and the start of the next, until it is stopped.
 //
 //     PeriodicThread thread;
 //     thread.start(500ms, [this] { this->poll(); });
-//     thread.stop();        // returns once a run in progress has ended
+//     thread.stop();        // returns after a call in progress has ended
 //
-// start() and stop() belong to one owner; stop() may be called twice.
+// The first call comes without a delay. Only the owner calls start() and
+// stop(); stop() may be called more than once.
 
 #include <chrono>
 #include <condition_variable>
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Random values that need no seed: ids of processes, spans and requests, and
-// jitter. Decisions that a test has to repeat take a seeded std::mt19937_64 of
-// their own and never call these. Thread-safe.
+// Random values that need not be reproducible: ids of processes, spans and requests,
+// and jitter. Code whose decisions a test must reproduce uses its own seeded
+// std::mt19937_64 instead of these functions. Thread-safe.
 
 #include <cstddef>
 #include <cstdint>
@@ -10,10 +10,11 @@
 
 namespace rattan {
 
-// Lower-case hex digits from a generator that the system seeds per thread.
+// Returns `digits` lower-case hex digits. Each thread has a generator that is seeded from
+// std::random_device.
 std::string randomHex(std::size_t digits);
 
-// Uniform over 0 .. bound-1; bound must be above zero.
+// Returns a uniformly distributed value in [0, bound). `bound` must be greater than zero.
 std::uint64_t randomBelow(std::uint64_t bound);
 
 } // namespace rattan
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -1,5 +1,5 @@
-// TCLAP parses the command line into texts; each text then goes through the
-// setting's own check, the same one that values from the environment take.
+// TCLAP splits the command line into one text per setting. The setter of the setting then
+// validates this text, in the same way as a text from the environment.
 
 #include "base/settings.h"
 
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,18 +1,19 @@
 #pragma once
 
-// Settings of a program: flags and environment variables, checked at start.
+// Settings of a program, read from flags and environment variables and validated at start.
 //
-//     Options options;                       // plain struct with defaults
+//     Options options;                       // a struct that holds the defaults
 //     Settings settings("rattan-entry", "Serves callers and operators.");
 //     settings.text("domain", &options.domain, "NAME", "Failure domain of this instance.");
-//     settings.number("body-limit", &options.bodyLimit, 1, 16777216, "bytes", "Largest body taken.");
+//     settings.number("body-limit", &options.bodyLimit, 1, 16777216, "bytes", "Maximum body size.");
 //     if (const auto code = settings.parse(argc, argv))
-//         return *code;                      // --help, --version or a bad value
+//         return *code;                      // --help, --version or an invalid value
 //
-// A setting "body-limit" of rattan-entry is read from --body-limit, else from
-// RATTAN_ENTRY_BODY_LIMIT, else from RATTAN_BODY_LIMIT, else keeps the value
-// the target holds. A bad value prints one line naming setting, value and what
-// is accepted, and parse returns 2. Not thread-safe; used once, before threads.
+// The setting "body-limit" of rattan-entry is read from --body-limit, else from
+// RATTAN_ENTRY_BODY_LIMIT, else from RATTAN_BODY_LIMIT; if none of them is set, the
+// target keeps its value. For an invalid value, parse() prints one line with the setting,
+// the value and the accepted values, and returns 2. Not thread-safe; used once, before
+// other threads start.
 
 #include <cstdint>
 #include <functional>
@@ -26,43 +27,48 @@
     std::string name;
     std::string placeholder;
     std::string accepted; // For example "1 to 16777216 bytes".
-    std::string fallback; // The default, as text.
+    std::string fallback; // The default value, as text.
     std::string meaning;
 };
 
 class Settings {
 public:
+    // The exit code for an invalid command line or value.
     static constexpr int badUsage = 2;
 
     Settings(std::string program, std::string description);
 
-    // Any text; empty is refused where required is true.
+    // Any text. If `required` is true, an empty text is rejected.
     void text(const std::string& name, std::string* target, const std::string& placeholder, const std::string& meaning,
         bool required = false);
 
-    // A whole number within [minValue, maxValue].
+    // An integer within [minValue, maxValue].
     void number(const std::string& name, std::int64_t* target, std::int64_t minValue, std::int64_t maxValue,
         const std::string& unit, const std::string& meaning);
 
-    // HOST:PORT with an IP number; port 0 is allowed where a free one may be chosen.
+    // IP:PORT. Port 0 is accepted, for targets that may use any free port. If `required` is true,
+    // an empty text is rejected.
     void address(const std::string& name, std::string* target, const std::string& meaning, bool required = false);
 
-    // Comma-separated HOST:PORT list; may be empty.
+    // A comma-separated list of IP:PORT; may be empty.
     void addresses(const std::string& name, std::vector<std::string>* target, const std::string& meaning);
 
-    // One word out of a list.
+    // One of the given words.
     void choice(const std::string& name, std::string* target, const std::vector<std::string>& choices,
         const std::string& meaning);
 
-    // Fills the targets. Empty means "go on"; else the exit code.
+    // Parses the command line and the environment and sets the targets. Returns the exit code
+    // if the program should end, else nullopt.
     std::optional<int> parse(int argc, const char* const* argv);
 
-    // What docs/SETTINGS.md is held against.
+    // All settings. A test compares docs/SETTINGS.md with them.
     const std::vector<SettingInfo>& list() const { return this->infos; }
+
+    // The environment variable of a setting, specific to this program.
     std::string environmentName(const std::string& setting) const;
 
 private:
-    // Takes a text and fills the target, or says what would be accepted.
+    // Parses a text into the target. Returns false if the text is not accepted.
     using Setter = std::function<bool(const std::string&)>;
 
     void add(SettingInfo, Setter);
@@ -77,6 +83,7 @@
 
 namespace detail {
 
+    // Whether the text is IP:PORT, with an IPv4 or IPv6 address.
     bool isAddress(const std::string&);
 
 } // namespace detail
--- a/src/base/stop_signal.h
+++ b/src/base/stop_signal.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Turns SIGTERM and SIGINT into a value the main thread can wait for.
+// Lets the main thread wait for SIGTERM and SIGINT.
 //
-//     StopSignal stop;          // before any other thread is started
+//     StopSignal stop;          // before any other thread starts
 //     startThreads();
-//     stop.wait();              // returns once a signal came
+//     stop.wait();              // returns after SIGTERM or SIGINT
 //     stopThreads();            // graceful shutdown
 //
-// A program that can take changed settings while it runs uses next() instead,
-// and reads them again on Signal::Reload (SIGHUP).
+// A program that can reload its settings while it runs calls next() instead, and
+// reloads them on Signal::Reload (SIGHUP).
 
 namespace rattan {
 
@@ -19,14 +19,15 @@
 
 class StopSignal {
 public:
-    // Blocks the signals on this thread and all threads it starts later; also
-    // ignores SIGPIPE, which a peer closing its socket would raise.
-    // With `handlesReload` SIGHUP is blocked too; without, it ends the program.
+    // Blocks the signals in this thread and all threads that it starts later. Also
+    // ignores SIGPIPE, which is raised when a peer has closed its socket. If
+    // `handlesReload` is true, SIGHUP is blocked as well; otherwise it ends the program.
     explicit StopSignal(bool handlesReload = false);
 
+    // Blocks until SIGTERM or SIGINT arrives.
     void wait() const;
 
-    // Blocks until either signal comes.
+    // Blocks until one of the handled signals arrives, and returns its meaning.
     Signal next() const;
 
 private:
--- a/src/base/testing/datagram_socket_test.cc
+++ b/src/base/testing/datagram_socket_test.cc
@@ -22,7 +22,7 @@
         CPPUNIT_ASSERT(!attemptVoid([&] { return receiver.open("127.0.0.1:0"); }));
         CPPUNIT_ASSERT(!receiver.receive());
         sender.send(receiver.address(), "beat 7");
-        const auto datagram = receiver.receive(); // On loopback it is there when send returns.
+        const auto datagram = receiver.receive(); // On loopback, a datagram has arrived when send() returns.
         CPPUNIT_ASSERT(datagram);
         CPPUNIT_ASSERT_EQUAL(std::string("beat 7"), datagram->text);
         CPPUNIT_ASSERT_EQUAL(sender.address(), datagram->from);
--- a/src/base/testing/log_writer_test.cc
+++ b/src/base/testing/log_writer_test.cc
@@ -21,8 +21,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // As in every program: a writer that outlives its longest stop may write to a pipe
-    // that is closed by then, which must be an error of that write and not the end of all.
+    // Ignores SIGPIPE, as all programs do: after maxStopTime, the writer's thread may still
+    // write to a pipe that is already closed, which must fail that write instead of
+    // killing the process.
     void setUp() override
     {
         std::signal(SIGPIPE, SIG_IGN);
@@ -46,9 +47,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("a\nb\n"), std::string(text.data(), static_cast<std::size_t>(size)));
     }
 
-    // Whoever collects the logs has stopped reading. Had a line to wait for that, the
-    // thread that serves callers would stand still, and every request with it. Lines
-    // are lost instead, and the program can still end.
+    // Guards against a log reader that has stopped reading and blocks the threads that log. Such
+    // a thread may be the one that serves callers, so all requests would stall. Lines are
+    // dropped instead, and the program can still end.
     void writeDoesNotBlockOnStalledReader()
     {
         constexpr int lines = 5000;
@@ -58,7 +59,7 @@
             writer.write({ 1, "" }, line + "\n");
         CPPUNIT_ASSERT(writer.droppedLines() > 0);
         writer.stop();
-        // Lets the writer's thread end before the pipe is closed.
+        // Drains the pipe, so that the writer's thread can end before the pipe is closed.
         std::array<char, 65536> text {};
         while (read(this->pipeEnds[0], text.data(), text.size()) == static_cast<ssize_t>(text.size())) { }
     }
@@ -69,13 +70,14 @@
         for (int i = 0; i < 100; ++i)
             writer.write({ 1, "" }, "a\n");
         writer.write({ 2, "" }, "b\n");
-        // A second may have passed between two lines, hardly more.
+        // Each boundary of a second that the loop crosses allows 10 more lines. It rarely
+        // crosses more than one.
         CPPUNIT_ASSERT(writer.droppedLines() >= 70);
         writer.stop();
     }
 
-    // Guards against a rare decision that is missing in the log because others of the same
-    // event had used up its budget.
+    // Guards against a rare decision that is missing in the log because frequent decisions of
+    // the same event have used up the limit of lines per second.
     void commonVariantDoesNotUseUpBudgetOfRareOne()
     {
         constexpr int common = 100;
@@ -87,7 +89,8 @@
         CPPUNIT_ASSERT(this->readAll().find('b') != std::string::npos);
     }
 
-    // Guards against routine lines that fill the queue of a slow reader before a rare one comes.
+    // Guards against routine lines that fill the queue while the reader is slow, so that a later
+    // rare line is dropped.
     void commonLinesDoNotFillQueueForRareOnes()
     {
         constexpr int common = 1000;
--- a/src/base/testing/malformed_input_test.cc
+++ b/src/base/testing/malformed_input_test.cc
@@ -1,5 +1,5 @@
-// Strange inputs to the small parsers of base/: what comes from callers' headers
-// and bodies, and goes into logs.
+// Malformed input to the parsers, the log formatter and the metrics of base/. Such input
+// comes from the headers and bodies of callers' requests.
 
 #include "base/json.h"
 #include "base/log.h"
@@ -42,8 +42,7 @@
             CPPUNIT_ASSERT_MESSAGE(message, message.find(part) != std::string::npos);
     }
 
-    // A caller puts a line break into a name. Written as it is, it would forge a
-    // log line of its own.
+    // Guards against a caller that forges a log line by putting a line break into a name.
     void logValuesCannotForgeLines()
     {
         CPPUNIT_ASSERT_EQUAL(std::string("plain"), detail::quoted("plain"));
--- a/src/base/timed_key.h
+++ b/src/base/timed_key.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Keys of requests that must not run twice. A key carries the time at which it
-// was minted, because the log that remembers keys is trimmed: without the time
-// nobody could tell a new key from one that was forgotten.
+// Idempotency keys: keys of requests that must not run twice. A key contains its creation
+// time, because the log that stores the keys is trimmed: without the time, a new key could
+// not be distinguished from one that was trimmed.
 
 #include "base/clock.h"
 
@@ -10,10 +10,11 @@
 
 namespace rattan {
 
-// For example "20261202T231500Z-9f86d081884c7d65"; the time is UTC. Thread-safe.
+// Creates a key, for example "20261202T231500Z-9f86d081884c7d65". `wall` is the current
+// wall-clock time; the time in the key is UTC. Thread-safe.
 std::string mintKey(Millis wall);
 
-// The first part of a key minted at that time.
+// The part before the hyphen of a key that is created at `wall`.
 std::string keyTimestamp(Millis wall);
 
 } // namespace rattan
--- a/src/base/trace.h
+++ b/src/base/trace.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Traces: a span for each hop of a request, joined by W3C traceparent headers.
+// Distributed tracing: one span for each hop of a request, linked by W3C traceparent headers.
 //
-//     Span span("entry.request", parentFromHeader);   // current on this thread
+//     Span span("entry.request", parentFromHeader);   // becomes the thread's current span
 //     span.addAttribute("workspace", workspace);
 //     forward(..., currentSpan().traceparent());       // the next hop's parent
 //
-// A finished span goes to a bounded in-memory store (oldest first out) from
-// which `rattanctl trace` reads, and to the exporter if one is set. Spans cost
-// one allocation and one lock; nothing waits on an exporter.
+// A finished span is passed to the exporter, if one is set, and then kept in a bounded
+// in-memory store that `rattanctl trace` reads and that drops its oldest spans first. A
+// span costs one allocation and one lock. Exporters must not block.
 
 #include "base/clock.h"
 
@@ -22,19 +22,19 @@
 namespace rattan {
 
 struct SpanContext {
-    std::string traceId; // 32 hex digits; empty means "no trace".
+    std::string traceId; // 32 hex digits, or empty if there is no trace.
     std::string spanId; // 16 hex digits.
 
-    // The header value for the next hop; empty when there is no trace.
+    // The value of the traceparent header for the next hop, or empty if there is no trace.
     std::string traceparent() const;
 };
 
-// Reads a traceparent header; empty when it is not a valid version 00 value.
+// Parses a traceparent header. Returns nullopt if it is not a valid value of version 00.
 std::optional<SpanContext> parseTraceparent(std::string_view);
 
 struct FinishedSpan {
     SpanContext context;
-    std::string parentId; // Empty for a root.
+    std::string parentId; // Empty for a root span.
     std::string name;
     std::string program;
     Millis startWall { 0 };
@@ -42,13 +42,14 @@
     std::vector<std::pair<std::string, std::string>> attributes;
 };
 
-// The span that is current on this thread; an empty context if none is.
+// The context of this thread's current span, or an empty context if there is none.
 const SpanContext& currentSpan();
 
+// A span that lasts as long as this object, and is the thread's current span meanwhile.
 class Span {
 public:
-    // Starts a child of parent, or of the thread's current span if no parent
-    // is given, or a new trace if there is neither.
+    // Starts a child of `parent` or, if it is nullopt, of the thread's current span. Starts
+    // a new trace if there is neither.
     explicit Span(std::string name, std::optional<SpanContext> parent = std::nullopt);
     ~Span();
     Span(const Span&) = delete;
@@ -63,13 +64,14 @@
     Millis startedAt;
 };
 
-// Every stored span of a trace, in order of finishing.
+// All stored spans of a trace, in the order in which they finished.
 std::vector<FinishedSpan> spansOf(std::string_view traceId);
 
-// How many spans are kept; older ones are dropped.
+// The maximum number of stored spans, over all traces; the oldest are dropped.
 inline constexpr std::size_t spanStoreCapacity = 4096;
 
-// Called with each finished span; must not block. Set once at start.
+// Sets the function that is called with each finished span, under a lock. It must not block.
+// Called once when the program starts.
 void setSpanExporter(std::function<void(const FinishedSpan&)>);
 
 } // namespace rattan
