--- a/src/base/periodic_thread.h
+++ b/src/base/periodic_thread.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// A thread that runs one duty again and again, with a pause in between, until it
-// is stopped.
+// A thread that calls a function repeatedly, with a fixed delay between the end of one
+// call and the start of the next, until it is stopped.
 //
 //     PeriodicThread thread;
 //     thread.start(500ms, [this] { this->poll(); });
-//     thread.stop();        // returns once a run in progress has ended
+//     thread.stop();        // returns after a call in progress has ended
 //
-// start() and stop() belong to one owner; stop() may be called twice.
+// The first call comes without a delay. Only the owner calls start() and
+// stop(); stop() may be called more than once.
 
 #include <chrono>
 #include <condition_variable>
@@ -21,15 +22,15 @@
 public:
     ~PeriodicThread() { this->stop(); }
 
-    void start(std::chrono::milliseconds period, std::function<void()> duty)
+    void start(std::chrono::milliseconds delay, std::function<void()> callback)
     {
-        this->thread = std::thread([this, period, duty = std::move(duty)] {
+        this->thread = std::thread([this, delay, callback = std::move(callback)] {
             std::unique_lock lock(this->mutex);
             while (!this->stopping) {
                 lock.unlock();
-                duty();
+                callback();
                 lock.lock();
-                this->wake.wait_for(lock, period, [this] { return this->stopping; });
+                this->wake.wait_for(lock, delay, [this] { return this->stopping; });
             }
         });
     }
--- a/src/delivery/delivery_thread.h
+++ b/src/delivery/delivery_thread.h
@@ -13,8 +13,8 @@
 // a second; the next batch opens a new session. All other methods are for one other
 // thread, which never waits for the network.
 
+#include "base/bounded_queue.h"
 #include "base/error.h"
-#include "base/ring.h"
 #include "delivery/delivery_port.h"
 
 #include <atomic>
@@ -63,8 +63,8 @@
 
     std::string listenAddress;
     std::function<void()> wakeOwner;
-    BoundedRing<Command> commands;
-    BoundedRing<DeliveryEvent> events;
+    BoundedQueue<Command> commands;
+    BoundedQueue<DeliveryEvent> events;
     int wakeFd { -1 }; // An eventfd that wakes the thread.
     std::atomic<bool> stopping { false };
     std::atomic<bool> failed { false };
--- a/src/instance/control_loop.h
+++ b/src/instance/control_loop.h
@@ -13,9 +13,9 @@
 // Callers' threads pass requests through a bounded queue. When it is full, a request is
 // refused immediately.
 
+#include "base/bounded_queue.h"
 #include "base/datagram_socket.h"
 #include "base/metrics.h"
-#include "base/ring.h"
 #include "delivery/delivery_thread.h"
 #include "delivery/order_forwarder.h"
 #include "delivery/relay_selector.h"
@@ -143,7 +143,7 @@
     std::unique_ptr<Leadership> leadership;
     std::shared_ptr<const tasks::Catalog> catalog;
 
-    BoundedRing<QueuedRequest> requestQueue;
+    BoundedQueue<QueuedRequest> requestQueue;
     std::map<std::uint64_t, UnansweredRequest> unansweredRequests;
     std::uint64_t lastTicket { 0 };
     bool appendInFlight { false };
