--- a/src/delivery/delivery_port.h
+++ b/src/delivery/delivery_port.h
@@ -76,7 +76,7 @@
     virtual bool send(OrderBatch) = 0;
     virtual bool answer(AnswerBatch) = 0;
 
-    // Closes the sessions to other instances that belong to any other term.
+    // Closes the sessions that were opened to other instances for any term except this one.
     virtual void closeOtherTerms(std::int64_t term) = 0;
 };
 
--- a/src/delivery/delivery_thread.cc
+++ b/src/delivery/delivery_thread.cc
@@ -24,7 +24,7 @@
     constexpr std::size_t maxCommands = 8192;
     constexpr std::size_t maxEvents = 8192;
 
-    // A peer that does not acknowledge a batch within this time is disconnected, frozen or
+    // A peer that does not acknowledge a batch within this time is unreachable, frozen or
     // overloaded; its workers are better served through another one.
     constexpr auto batchTimeout = 500 * kj::MILLISECONDS;
     constexpr auto connectTimeout = 400 * kj::MILLISECONDS;
@@ -127,8 +127,9 @@
     {
     }
 
-    // The server closes the connections of peers when it is destroyed. It is declared after the
-    // sessions that their services refer to, and is therefore destroyed before them.
+    // Accepts sessions of peers from now on; returns the port that is listened on. The server
+    // closes the connections of peers when it is destroyed. It is declared after the sessions that
+    // their services refer to, and is therefore destroyed before them.
     unsigned listen()
     {
         this->server = kj::heap<capnp::TwoPartyServer>(capnp::Capability::Client(kj::heap<CarrierService>(*this)));
--- a/src/delivery/delivery_thread.h
+++ b/src/delivery/delivery_thread.h
@@ -10,8 +10,8 @@
 //
 // The first batch for a peer and term opens a session. The session ends with PeerLost if the
 // peer cannot be reached, closes the connection, or does not acknowledge a batch within half
-// a second; the next batch opens a new session. All other methods are for one other
-// thread, which never waits for the network.
+// a second; the next batch opens a new session. The methods are to be called from one thread,
+// which never waits for the network. `wake` is called on the thread of the DeliveryThread.
 
 #include "base/error.h"
 #include "base/ring.h"
--- a/src/delivery/order_forwarder.cc
+++ b/src/delivery/order_forwarder.cc
@@ -47,8 +47,8 @@
 
 void OrderForwarder::handleSessionEnded(const SessionEnded& session) { this->sessions.erase(session.session); }
 
-// The planner of a newer term may have called the same workers already, which would then
-// reject the orders of an earlier term.
+// Records the newest known term. Orders of earlier terms are not sent any more: the planner of
+// the newer term may have called the same workers already, which would then reject them.
 void OrderForwarder::handleNewTerm(std::int64_t term)
 {
     this->newestTerm = std::max(this->newestTerm, term);
--- a/src/delivery/order_forwarder.h
+++ b/src/delivery/order_forwarder.h
@@ -10,9 +10,11 @@
 //     forwarder.step(now);                         // in each turn
 //
 // It makes no decisions about orders: it sends each at most once, in the order of receipt, and
-// returns the worker's answer. It does not send orders of a term that is known to have ended,
-// orders that were in transit for longer than `maxTransitTime`, or a start whose job record is
-// not read here within `maxJobTextWait`; these are answered as not sent. Not thread-safe.
+// returns the worker's answer. Only a start whose job record has not been read here yet is
+// overtaken by later orders. Orders that were in transit for longer than `maxTransitTime`, and
+// starts whose job record is not read within `maxJobTextWait`, are not sent and are answered as
+// such. Orders of a term that is known to have ended are not sent either: step() ends the
+// sessions of that term without further answers. Not thread-safe.
 
 #include "delivery/delivery_port.h"
 #include "delivery/worker_channel.h"
@@ -30,6 +32,8 @@
 public:
     // Measured by wall-clock time, which may differ between instances.
     static constexpr Millis maxTransitTime = 3000;
+
+    // Measured from the receipt of the start.
     static constexpr Millis maxJobTextWait = 300;
 
     // Answers that are not urgent wait up to this long, to be sent together with others.
--- a/src/delivery/order_queues.h
+++ b/src/delivery/order_queues.h
@@ -14,7 +14,7 @@
 
 class OrderQueues {
 public:
-    // Sends the order. complete() must be called when its answer has been received.
+    // Sends the order. complete() must be called when the order is answered or is not to be sent.
     using SendFunction = std::function<void()>;
 
     explicit OrderQueues(std::size_t maxInFlight)
--- a/src/delivery/relay_selector.cc
+++ b/src/delivery/relay_selector.cc
@@ -23,7 +23,7 @@
 
     constexpr Millis offerLifetime = 3500; // Offers are sent once a second and may be lost.
     constexpr Millis lostRelayBackoff = 3000; // Network partitions last seconds.
-    constexpr Millis directRouteTime = 4000; // After a worker did not answer through its relay.
+    constexpr Millis directRouteTime = 4000; // For a worker that did not answer through its relay.
     constexpr Millis reassignInterval = 500;
 
     // Weighted rendezvous hashing: a worker is assigned to the relay with the highest score, so
--- a/src/delivery/relayed_channel.cc
+++ b/src/delivery/relayed_channel.cc
@@ -97,7 +97,7 @@
 {
     const auto found = this->pending.find(id);
     if (found == this->pending.end())
-        return; // Completed without an answer before.
+        return; // The order has timed out or its relay was lost before this answer.
     const Pending done = std::move(found->second);
     this->pending.erase(found);
     this->deadlines.erase({ done.deadline, id });
--- a/src/delivery/report_delta.h
+++ b/src/delivery/report_delta.h
@@ -3,7 +3,7 @@
 // The difference between two successive reports of a worker, so that a relay that polls
 // workers for the planner does not send complete lists repeatedly.
 //
-//     ReportEncoder encoder;                        // where the worker is polled, one a session
+//     ReportEncoder encoder;                        // where the worker is polled, one for each session
 //     ReportDelta delta = encoder.encode(id, report);
 //     ReportDecoder decoder;                        // at the other end of the session
 //     std::optional<WorkerReport> decoded = decoder.decode(id, delta);
--- a/src/delivery/testing/delivery_thread_test.cc
+++ b/src/delivery/testing/delivery_thread_test.cc
@@ -118,7 +118,7 @@
     }
 
     // Guards against orders that wait forever for a relay that was killed, and against a relay
-    // that is not used again after a restart.
+    // that is not used again after a restart, which gives it another port here.
     void stoppedPeerIsLostAndReplaced()
     {
         const std::string address = this->relay.thread.address();
--- a/src/delivery/worker_call.h
+++ b/src/delivery/worker_call.h
@@ -34,7 +34,7 @@
     int status { 0 }; // HTTP status; 0 if there was no response.
 };
 
-// Whether the answer came from the worker itself.
+// Whether the worker itself has answered.
 bool wasAnswered(const WorkerAnswer&);
 
 // The answer to an order that was certainly not sent, and to one whose outcome is unknown.
--- a/src/delivery/worker_protocol.h
+++ b/src/delivery/worker_protocol.h
@@ -24,7 +24,7 @@
 
 struct PollReply {
     std::optional<tasks::WorkerReport> report;
-    tasks::WorkerFault fault { tasks::WorkerFault::NoAnswer }; // Why there is no report.
+    tasks::WorkerFault fault { tasks::WorkerFault::NoAnswer }; // Why there is no report; meaningless if there is one.
 };
 
 class WorkerProtocol {
--- a/src/tasks/testing/fault_scenario.h
+++ b/src/tasks/testing/fault_scenario.h
@@ -25,7 +25,7 @@
         Millis roundDuration { 0 };
         bool pollsBetweenTurns { true };
         Millis until { 58000 };
-        double load { 0.5 }; // Share of all accelerators used by the regular jobs, without the burst of large ones.
+        double load { 0.5 }; // Share of all accelerators used by the regular jobs, without the burst of low-priority jobs.
     };
 
     explicit FaultScenario(Options);
--- a/src/tasks/testing/lost_work_detector.h
+++ b/src/tasks/testing/lost_work_detector.h
@@ -56,7 +56,7 @@
     static std::vector<UnitKey> readyUnits(const Job&, const View&);
     static std::int64_t countFits(const Job&, const UnitKey&, const View&);
 
-    std::map<std::string, Millis> lostSince; // By job: since when it has been lost.
+    std::map<std::string, Millis> lostSince; // By job: the time at which it was first found to be idle although it could run.
     std::set<std::string> reportedJobs;
 };
 
--- a/src/tasks/testing/virtual_site.h
+++ b/src/tasks/testing/virtual_site.h
@@ -7,8 +7,8 @@
 // The invariants are checked here against what the workers do, not against the planner's view:
 // a worker does not exceed its capacity; a task does not run twice at a time, or again after
 // its end was acknowledged; no step starts before those that it depends on; no task is started
-// after its last attempt, or repeatedly after three workers have crashed under it; no job is
-// shown as failed without cause; no work waits beside idle workers (see lost_work_detector.h;
+// after its last attempt, or three more times after three workers have crashed under it; no job
+// is shown as failed without cause; no work waits beside idle workers (see lost_work_detector.h;
 // checked only while no fault is active or recent).
 
 #include "tasks/task_planner.h"
@@ -131,7 +131,8 @@
     void delayRecords(Millis delay) { this->recordDelay = delay; }
 
     // Sets the duration that is reported to the planner for each round over all units, as by a
-    // caller that measures rounds. After such a round, none is held for three times its duration.
+    // caller that measures rounds. The planner begins the next such round only after a pause of
+    // three times that duration.
     void setRoundDuration(Millis duration) { this->roundDuration = duration; }
 
     // Polls that remain after a turn are sent before the next one.
@@ -173,7 +174,7 @@
         Millis waitingSince { 0 };
         Millis stopsAt { 0 };
         bool willFail { false };
-        Resources room;
+        Resources resources; // Those that the run uses.
     };
 
     struct Worker {
--- a/src/tasks/testing/virtual_site_lost_work.cc
+++ b/src/tasks/testing/virtual_site_lost_work.cc
@@ -17,8 +17,8 @@
     return std::any_of(this->workers.begin(), this->workers.end(), [](const auto& row) { return !row.second.crashed && (row.second.isPartitioned || row.second.isStalled || row.second.failsAll); });
 }
 
-// The planner gives up the runs of an unreachable worker after one lease, so that checks start
-// only after that time.
+// Checks for lost work, but not until one lease and a margin after the last fault: the planner
+// gives up the runs of an unreachable worker only after one lease.
 void VirtualSite::checkLostWork()
 {
     constexpr Millis checkInterval = 100;
@@ -41,9 +41,9 @@
             continue;
         Resources free = worker.capacity;
         for (const auto& [ref, run] : worker.running) {
-            free -= run.room;
+            free -= run.resources;
             view.running.insert(ref.task);
-            view.usedAccelerators += run.room.accelerators;
+            view.usedAccelerators += run.resources.accelerators;
         }
         view.accelerators += worker.capacity.accelerators;
         constexpr int failureLimit = 2; // After this many failures the planner may stop using the worker.
--- a/src/tasks/testing/virtual_site_workers.cc
+++ b/src/tasks/testing/virtual_site_workers.cc
@@ -181,12 +181,12 @@
     run.checkpoint = order.checkpoint;
     run.gangSize = step.gang ? step.count : 1;
     run.waitingSince = this->now;
-    run.room = step.perTask;
+    run.resources = step.perTask;
     run.willFail = worker.failsAll || this->randomShare() < this->options.failures;
     worker.running.emplace(order.run, run);
-    const auto crashes = this->crashDelays.find(task.job);
-    if (crashes != this->crashDelays.end() && task.step == 0 && task.index == 0) {
-        this->schedule(this->now + crashes->second, [this, id = order.worker.id, ref = order.run] {
+    const auto crashDelay = this->crashDelays.find(task.job);
+    if (crashDelay != this->crashDelays.end() && task.step == 0 && task.index == 0) {
+        this->schedule(this->now + crashDelay->second, [this, id = order.worker.id, ref = order.run] {
             if (this->workers.at(id).running.contains(ref))
                 this->crash(id);
         });
@@ -229,7 +229,7 @@
     constexpr Millis maxListDelay = 4500;
     Resources used = this->stepOf(order.run.task).perTask;
     for (const auto& [ref, run] : worker.running)
-        used += run.room;
+        used += run.resources;
     bool isAllowed = used.fitsIn(worker.capacity);
     for (const auto& [replacedAt, capacity] : worker.formerCapacities)
         isAllowed = isAllowed || (this->now < replacedAt + maxListDelay && used.fitsIn(capacity));
