--- a/src/base/error.h
+++ b/src/base/error.h
@@ -56,7 +56,7 @@
     std::chrono::milliseconds retryAfter { 0 };
 };
 
-// Creates the failed result that a function of type Result<T> returns.
+// Creates the failed result of a function that returns Result<T>.
 inline boost::leaf::error_id fail(Error error) { return boost::leaf::new_error(std::move(error)); }
 
 inline boost::leaf::error_id fail(ErrorCode code, std::string step, std::string peer, std::string message,
--- a/src/base/json.h
+++ b/src/base/json.h
@@ -11,7 +11,8 @@
 //         return reader.finish(order);     // one error that names every bad field
 //     }
 //
-// The cost of parsing is bounded by the size of the text, and nesting uses no stack.
+// The cost of parsing is bounded by the size of the text. The parser is not recursive, so
+// deeply nested input cannot overflow the stack.
 // Fields that have the wrong type, are out of range, missing or unknown are all
 // reported together, in one BadInput error.
 
@@ -44,7 +45,8 @@
     std::int64_t number(const std::string& name, std::int64_t minValue, std::int64_t maxValue);
     const Json& array(const std::string& name, std::size_t maxItems);
 
-    // Read an optional field, or return `fallback` if it is missing. anyOr() accepts every type.
+    // Read an optional field, or return `fallback` if it is missing. If it is present but
+    // invalid, an error is added. anyOr() accepts every type.
     std::string textOr(const std::string& name, const std::string& fallback, std::size_t maxBytes);
     std::int64_t numberOr(const std::string& name, std::int64_t fallback, std::int64_t minValue, std::int64_t maxValue);
     bool flagOr(const std::string& name, bool fallback);
@@ -71,7 +73,8 @@
     }
 
 private:
-    // The field's value, or null if it is missing, which is an error if it is required.
+    // The value of a field, or a null pointer if the field is missing. Adds an error if a
+    // required field is missing.
     const Json* find(const std::string& name, bool required);
 
     const Json& object;
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -61,7 +61,7 @@
 void logInBackground();
 void stopLog();
 
-// The number of lines dropped so far.
+// The number of lines dropped so far by background logging.
 std::uint64_t droppedLogLines();
 
 // Writes one line if the event's level is at least the minimum level. With background
--- a/src/base/log_writer.h
+++ b/src/base/log_writer.h
@@ -39,7 +39,7 @@
 struct LogWriterOptions {
     std::size_t maxQueuedLines { 4000 }; // About 1 MB.
     std::int64_t maxLinesPerSecond { 300 }; // Per source.
-    std::int64_t maxRareLinesPerSecond { 30 }; // Per source; with more lines it may fill only half of the queue.
+    std::int64_t maxRareLinesPerSecond { 30 }; // Per source; its further lines in that second may fill only half of the queue.
     std::chrono::milliseconds batchInterval { 100 }; // Lines that arrive within it are written together.
     std::chrono::milliseconds maxStopTime { 300 };
 };
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -11,9 +11,9 @@
 //
 // The setting "body-limit" of rattan-entry is read from --body-limit, else from
 // RATTAN_ENTRY_BODY_LIMIT, else from RATTAN_BODY_LIMIT; if none of them is set, the
-// target keeps its value. For an invalid value, parse() prints one line with the setting,
-// the value and the accepted values, and returns 2. Not thread-safe; used once, before
-// other threads start.
+// target keeps its value, which is validated as well. For an invalid value, parse() prints
+// one line with the setting, the value and the accepted values, and returns 2. Not
+// thread-safe; used once, before other threads start.
 
 #include <cstdint>
 #include <functional>
--- a/src/base/stop_signal.h
+++ b/src/base/stop_signal.h
@@ -20,7 +20,7 @@
 class StopSignal {
 public:
     // Blocks the signals in this thread and all threads that it starts later. Also
-    // ignores SIGPIPE, which is raised when a peer has closed its socket. If
+    // ignores SIGPIPE, which a write to a socket that the peer has closed would raise. If
     // `handlesReload` is true, SIGHUP is blocked as well; otherwise it ends the program.
     explicit StopSignal(bool handlesReload = false);
 
--- a/src/base/testing/log_writer_test.cc
+++ b/src/base/testing/log_writer_test.cc
@@ -71,7 +71,7 @@
             writer.write({ 1, "" }, "a\n");
         writer.write({ 2, "" }, "b\n");
         // Each boundary of a second that the loop crosses allows 10 more lines. It rarely
-        // crosses more than one.
+        // crosses more than one; the assertion tolerates two.
         CPPUNIT_ASSERT(writer.droppedLines() >= 70);
         writer.stop();
     }
--- a/src/base/trace.h
+++ b/src/base/trace.h
@@ -45,7 +45,8 @@
 // The context of this thread's current span, or an empty context if there is none.
 const SpanContext& currentSpan();
 
-// A span that lasts as long as this object, and is the thread's current span meanwhile.
+// A span that lasts as long as this object. It is the thread's current span, except while a
+// nested span exists.
 class Span {
 public:
     // Starts a child of `parent` or, if it is nullopt, of the thread's current span. Starts
@@ -70,8 +71,9 @@
 // The maximum number of stored spans, over all traces; the oldest are dropped.
 inline constexpr std::size_t spanStoreCapacity = 4096;
 
-// Sets the function that is called with each finished span, under a lock. It must not block.
-// Called once when the program starts.
+// Sets the function that is called with each finished span. The function must not block,
+// because it runs under a lock that every thread needs to finish a span. setSpanExporter() is
+// called once, when the program starts.
 void setSpanExporter(std::function<void(const FinishedSpan&)>);
 
 } // namespace rattan
