--- a/src/base/trace.h
+++ b/src/base/trace.h
@@ -72,8 +72,8 @@
 inline constexpr std::size_t spanStoreCapacity = 4096;
 
 // Sets the function that is called with each finished span. The function must not block,
-// because it runs under a lock that every thread needs to finish a span. setSpanExporter() is
-// called once, when the program starts.
+// because it runs under a lock that every thread needs to finish a span. It is set once, when
+// the program starts; an empty function removes it.
 void setSpanExporter(std::function<void(const FinishedSpan&)>);
 
 } // namespace rattan
