--- a/src/config/check_guarantees.cc
+++ b/src/config/check_guarantees.cc
@@ -1,7 +1,7 @@
 // The guarantees of a configuration apply to each failure domain, so every domain
-// must have room for all of them at the same time. If one has not, a binary search
-// finds the shortest prefix of the shapes, in the order of the configuration, that
-// does not fit; its last shape is the one reported.
+// must have room for all of them at the same time. If a domain has too little room,
+// a binary search finds the shortest prefix of the shapes, in the order of the
+// configuration, that does not fit; its last shape is the one reported.
 
 #include "config/checks.h"
 #include "config/packing.h"
--- a/src/config/keys.h
+++ b/src/config/keys.h
@@ -42,7 +42,7 @@
     std::string_view name;
     ValueKind kind;
     bool required;
-    std::int64_t min; // Like max: in milliseconds for durations, in MiB for memory.
+    std::int64_t min; // Both bounds are inclusive; in milliseconds for durations, in MiB for memory.
     std::int64_t max;
 };
 
--- a/src/config/ledger.h
+++ b/src/config/ledger.h
@@ -30,7 +30,8 @@
 //
 // The version of inForce() never decreases, whatever is read, trimmed or adopted.
 // Not thread-safe. Parses a configuration for each publish that amends the current
-// version, and for each checkpoint that is newer than the version in force.
+// version, and, if it is newer than the version in force, for each checkpoint of a
+// peer and for each restate that is read while the ledger is not current.
 
 #include "base/json.h"
 #include "config/configuration.h"
@@ -69,7 +70,7 @@
 
 enum class OutcomeKind {
     Accepted,
-    Lost, // The publish amends a version that is not current: another publish came first.
+    Lost, // The publish amends a version that is not current, normally because another publish came first.
     Ignored, // Invalid, out of order, without effect, or a repeat of an accepted publication.
     Undecided, // The version at the reader's offset is not known.
 };
@@ -91,7 +92,7 @@
     static constexpr std::size_t maxStoredOutcomes = 512;
 
     // Reports that records before this offset were trimmed. A ledger that has not read
-    // up to it is not current afterwards.
+    // up to it is not current afterwards, and next() returns that offset.
     void handleTrim(std::uint64_t newFirstKept);
 
     // Applies the record at next(); a record with any other offset is ignored.
@@ -100,7 +101,8 @@
     // Applies the checkpoint of a peer. Returns whether the version in force advanced.
     bool adopt(const Checkpoint&);
 
-    // The offset to read next; decreases when a restate refers to an earlier offset.
+    // The offset to read next; decreases when a restate or the checkpoint of a peer
+    // refers to an earlier offset.
     std::uint64_t next() const { return this->nextOffset; }
 
     // Whether the version at next() is known.
@@ -110,8 +112,8 @@
     // The outcome of a publication, or empty if it is not among the last maxStoredOutcomes.
     std::optional<PublishOutcome> outcomeOf(const std::string& publication) const;
 
-    // The version in force and its offset, for a restate or a peer. Empty while the
-    // ledger is not current, if a newer version is in force than the one at
+    // The version in force, with next() as its offset, for a restate or a peer. Empty
+    // if the ledger is not current, if the version in force is newer than the one at
     // next(), or if nothing has been published.
     std::optional<Checkpoint> checkpoint() const;
 
--- a/src/config/packing.cc
+++ b/src/config/packing.cc
@@ -104,8 +104,9 @@
 
         // Adds the current state to the searched states; returns false if it was already there.
         // Equal pieces can be placed in many orders that leave the same free accelerators.
-        // A search from a state that was searched before would fail again. A state that
-        // exceeds maxSearchedStatesSize is only looked up.
+        // A search from a state that was searched before would fail again. A new state is
+        // not stored if the searched states would exceed maxSearchedStatesSize, but the
+        // search still continues from it.
         bool addStateIfNew()
         {
             std::vector<Rack> state = this->racks;
--- a/src/config/parse.cc
+++ b/src/config/parse.cc
@@ -1,8 +1,8 @@
 // Parsing has three passes: YAML to a bounded tree of nodes, nodes to fields with
 // every value validated against the table of keys, then the checks that involve
 // several values. The last pass also runs if some fields are invalid, so that its
-// faults are reported together with theirs. Only the packing search is skipped
-// unless workers and guarantees are valid.
+// faults are reported together with theirs. Only checkGuarantees() is skipped unless
+// the workers, the guarantees and the limits on accelerators are valid.
 
 #include "config/parse.h"
 
@@ -90,9 +90,9 @@
         return configuration;
     }
 
-    // Whether a fault rules out the packing search. An invalid amount leaves the
-    // default in its field, and the search would report faults with numbers that
-    // are not in the operators' text.
+    // Whether checkGuarantees() must be skipped because of a fault. An invalid amount
+    // leaves the default in its field, and the check would report faults with numbers
+    // that are not in the operators' text.
     bool concernsPacking(const Fault& fault)
     {
         return fault.path.empty() || fault.path.rfind("workers", 0) == 0 || fault.path.find("guarantees") != std::string::npos
--- a/src/config/parse.h
+++ b/src/config/parse.h
@@ -9,9 +9,12 @@
 //     }
 //
 // The outcome has either a configuration and no faults, or no configuration and
-// all faults. The same bytes give the same outcome on every instance: parsing
-// depends on nothing but its argument, and the search that checks the guarantees
-// is limited by a number of steps, not by time.
+// all faults, of which maxFaults are listed in full. Input that is not one YAML
+// document within the limits of size, depth and nodes has only its first fault.
+//
+// The same bytes give the same outcome on every instance: parsing depends on
+// nothing but its argument, and the search that checks the guarantees is limited
+// by a number of steps, not by time.
 //
 // The cost of hostile input is bounded: size, depth, number of nodes and lengths
 // of lists are limited, and anchors and aliases are rejected. docs/CONFIG.md lists
--- a/src/config/testing/ledger_test.cc
+++ b/src/config/testing/ledger_test.cc
@@ -30,7 +30,7 @@
         void trim(std::uint64_t upto) { this->firstKept = std::max(this->firstKept, upto); }
     };
 
-    // Reads up to an offset, from wherever next() points after each record.
+    // Reads up to an offset. Reading continues at next(), which a restate may decrease.
     void readUpTo(Ledger& ledger, const Stream& stream, std::uint64_t end)
     {
         ledger.handleTrim(stream.firstKept);
--- a/src/config/testing/packing_test.cc
+++ b/src/config/testing/packing_test.cc
@@ -57,7 +57,8 @@
 public:
     void backtracksWhereBestFitFails()
     {
-        // Best fit alone fails here, although a packing exists: 6 + 4 on 10 and 4 + 3 on 7.
+        // Best fit places the 6 on the worker with 7 free, both 4s on the other, and then has
+        // no room for the 3, although a packing exists: 6 + 4 on 10 and 4 + 3 on 7.
         SearchBudget budget;
         const std::vector<RackCapacity> racks { { 10 }, { 7 } };
         std::vector<Piece> pieces;
