--- a/src/http/async_client.cc
+++ b/src/http/async_client.cc
@@ -28,14 +28,14 @@
 
     using SteadyClock = std::chrono::steady_clock;
 
-    constexpr std::size_t maxIdleHandles = 64; // About 6 KB each.
+    constexpr std::size_t maxIdleHandles = 64; // libcurl handles kept for reuse; about 6 KB each.
     constexpr long receiveBufferBytes = 8192; // Most answers need less than libcurl's default of 16 KB.
 
     // Sockets handled per call of run(), about 4 ms of answers, so that a thousand
     // answers that arrive at once do not delay the caller's other work.
     constexpr std::size_t maxEventsPerPass = 64;
 
-    // Timeout given to libcurl, longer than any timeout of a call.
+    // Connect timeout given to libcurl, longer than any timeout of a call.
     constexpr long noTimeoutMillis = 24L * 3600 * 1000;
 
     // A call times out this long after its deadline even if every pass since then has left
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -11,9 +11,10 @@
 // The client uses libcurl directly instead of the client of ulfius, which does not
 // report whether any byte of a request left this process; at-most-once execution
 // depends on this. A connection is reused only after its answer has been read
-// completely. A call with `once` always uses a new connection, because libcurl
-// silently resends a request if a reused connection turns out to be dead. Redirects
-// are not followed and proxies are not used. Thread-safe; a call blocks.
+// completely. A call with `once` always uses a new connection, which no other call
+// reuses, because libcurl silently resends a request if a reused connection turns out
+// to be dead. Redirects are not followed and proxies are not used. Thread-safe; a call
+// blocks.
 
 #include "base/error.h"
 
--- a/src/http/open_connections.h
+++ b/src/http/open_connections.h
@@ -9,7 +9,7 @@
 //     connections.markRequestRead(connection);      // the complete request was read
 //     connections.markRequestFinished(connection);  // the answer was written, or the request failed
 //     connections.remove(connection);               // before its socket is closed
-//     connections.closeWhenIdle();                  // closes each connection without a request
+//     connections.closeWhenIdle();                  // closes each connection when it has no request
 //     connections.waitUntilEmpty(limit);
 //
 // A connection is closed by shutting down its read side: a request that has arrived by
@@ -47,7 +47,8 @@
     // Shuts down the idle connections now, and every other one when its request ends.
     void closeWhenIdle();
 
-    // Waits until all connections are removed; returns false after `limit`.
+    // Waits until all connections are removed. Returns false if some are still open after
+    // `limit` milliseconds.
     bool waitUntilEmpty(Millis limit);
 
     std::int64_t requestsInProgress() const; // Requests that were read at least in part.
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -33,7 +33,7 @@
     std::int64_t maxBodyBytes { 1 << 20 };
     std::int64_t maxConnections { 512 };
     std::int64_t idleTimeoutSeconds { 60 }; // Connections without traffic are closed after this time.
-    std::int64_t stopTimeoutSeconds { 10 }; // How long stop() waits for requests in progress.
+    std::int64_t stopTimeoutSeconds { 10 }; // Longest time that stop() waits for requests in progress.
 };
 
 struct StopReport {
--- a/src/http/testing/async_client_test.cc
+++ b/src/http/testing/async_client_test.cc
@@ -316,9 +316,9 @@
         CPPUNIT_ASSERT_EQUAL(2, peer.requests());
     }
 
-    // Guards against missing a resend because libcurl writes the path differently from its
-    // sender: the rejection of the resent request would be treated as the outcome of the call.
-    // libcurl always resends requests without a body.
+    // libcurl can send the path in another form than the call gives it. Guards against missing
+    // a resend because of this: the rejection of the resent request would be treated as the
+    // outcome of the call. libcurl resends requests without a body even if canResend is false.
     void transmissionsAreCounted()
     {
         for (const char* path : { "/", "/a/./b", "/a/../b", "/a?b=/./", "/a#b" }) {
--- a/src/http/testing/server_test.cc
+++ b/src/http/testing/server_test.cc
@@ -27,8 +27,8 @@
 
 public:
     // The server is stopped while a handler runs. Guards against closing the connection
-    // before the answer: the caller whose hold was just made could not know whether it has
-    // seats.
+    // before the answer: a caller whose request was a reservation could not know whether it
+    // was made.
     void stopAnswersRequestsInProgress()
     {
         std::promise<void> entered;
@@ -110,7 +110,7 @@
     }
 
     // A caller keeps its connection open for its next request, possibly for minutes. Guards
-    // against a stop that waits for it.
+    // against a stop that waits for that request.
     void stopClosesIdleConnections()
     {
         Server server({});
--- a/src/http/transfer.cc
+++ b/src/http/transfer.cc
@@ -64,7 +64,8 @@
         curl_easy_setopt(handle, CURLOPT_READDATA, &transfer);
     }
 
-    // Called once for each connection, before libcurl sends the request on it.
+    // libcurl calls this before each transmission of the request, including a resend on
+    // another connection.
     int onConnection(void* user, char*, char*, int, int)
     {
         static_cast<Transfer*>(user)->awaitsFirstByte = true;
--- a/src/records/job_record.h
+++ b/src/records/job_record.h
@@ -53,8 +53,8 @@
 struct JobRecord {
     JobRecordKind kind { JobRecordKind::Submit };
     std::uint64_t id { 0 }; // Starting, Final, Restate.
-    std::string workspace;
-    std::string key;
+    std::string workspace; // All kinds except Starting.
+    std::string key; // All kinds except Starting.
     Millis submitWallTime { 0 }; // Submit, Restate: when the caller submitted.
     JobSpec spec; // Submit, Restate.
     std::int64_t attempt { 0 }; // Starting, Restate.
