--- a/src/delivery/testing/delivery_thread_test.cc
+++ b/src/delivery/testing/delivery_thread_test.cc
@@ -73,13 +73,13 @@
         const auto& poll = std::get<tasks::PollOrder>(received.calls[2].call.order);
         CPPUNIT_ASSERT(poll.worker.id == "w2" && poll.wait == 2000 && poll.acknowledged == 3);
 
-        const StartReply refused { tasks::StartAnswer::NoRoom, 12 };
+        const StartReply refused { tasks::StartAnswer::NotEnoughResources, 12 };
         const PollReply deposed { .report = std::nullopt, .fault = tasks::WorkerFault::Deposed };
         this->relay.thread.answer({ received.session, { { 1, "w1", { refused, 409 } }, { 2, "w1", { StopReply { true, true, std::nullopt }, 200 } }, { 3, "w2", { deposed, 409 } } } });
         const auto answers = this->planner.waitFor<AnswersReceived>();
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), answers.answers.size());
         const auto& startReply = std::get<StartReply>(answers.answers[0].answer.reply);
-        CPPUNIT_ASSERT(startReply.answer == tasks::StartAnswer::NoRoom && startReply.clock == Millis(12));
+        CPPUNIT_ASSERT(startReply.answer == tasks::StartAnswer::NotEnoughResources && startReply.clock == Millis(12));
         CPPUNIT_ASSERT_EQUAL(409, answers.answers[0].answer.status);
         const auto& stopReply = std::get<StopReply>(answers.answers[1].answer.reply);
         CPPUNIT_ASSERT(stopReply.stopped && stopReply.deposed && !stopReply.clock);
--- a/src/tasks/planner_limits.h
+++ b/src/tasks/planner_limits.h
@@ -90,7 +90,7 @@
 inline constexpr Millis maxIsolationWait = 2000;
 
 // The assumed resources of a run whose job is unknown: more than any worker has.
-inline constexpr Resources unknownRoom { 1'000'000'000, 1'000'000'000, 1'000'000 };
+inline constexpr Resources unknownResources { 1'000'000'000, 1'000'000'000, 1'000'000 };
 
 // How long the record of an end that nothing waits for may be delayed. Its worker is not polled
 // in the meantime, which delays about one end in twenty by half of this time.
--- a/src/tasks/planner_state.h
+++ b/src/tasks/planner_state.h
@@ -23,7 +23,7 @@
 // Why a unit that may evict others evicted none.
 enum class EvictionRefusal {
     None,
-    NoRoom, // Evicting every unit that it may evict would not free enough resources.
+    NotEnoughResources, // Evicting every unit that it may evict would not free enough resources.
     TooMuchLost, // The cheapest plan loses more work than this unit may cost others.
 };
 
--- a/src/tasks/task_planner.cc
+++ b/src/tasks/task_planner.cc
@@ -127,7 +127,7 @@
         placedRun.inherited = true;
         placedRun.phase = RunPhase::Starting;
         placedRun.hasBegun = std::find(progress.startedMembers.begin(), progress.startedMembers.end(), static_cast<std::int64_t>(member)) != progress.startedMembers.end();
-        placedRun.resources = this->roomOf(placedRun.run.task);
+        placedRun.resources = this->resourcesOf(placedRun.run.task);
         worker.used += placedRun.resources;
         worker.placedRuns.emplace(placedRun.run, placedRun);
     }
@@ -370,19 +370,19 @@
 
 // The resources that a task takes. For a task without a record they are unknown, and larger
 // than any worker, so that nothing is placed on its worker until the run has been stopped.
-Resources TaskPlanner::roomOf(const TaskRef& task) const
+Resources TaskPlanner::resourcesOf(const TaskRef& task) const
 {
     const auto active = this->jobs.find(task.job);
     const JobEntry* entry = this->jobTable.find(task.job);
     const Job* job = active != this->jobs.end() ? active->second.job.get() : entry ? entry->job.get()
                                                                                    : nullptr;
     if (!job || task.step < 0 || task.step >= static_cast<std::int64_t>(job->steps.size()))
-        return unknownRoom;
+        return unknownResources;
     const Step& step = job->steps[static_cast<std::size_t>(task.step)];
-    Resources room = step.perTask;
+    Resources resources = step.perTask;
     if (step.usesIdleCores)
-        room.milliCores = 0;
-    return room;
+        resources.milliCores = 0;
+    return resources;
 }
 
 std::size_t TaskPlanner::runCount() const
--- a/src/tasks/task_planner.h
+++ b/src/tasks/task_planner.h
@@ -168,7 +168,7 @@
     bool isInDoubtedDomain(const Worker&, Millis now) const;
     Worker* find(const Incarnation&); // By id only: the run may be in a later incarnation.
     Unit* find(const UnitKey&);
-    Resources roomOf(const TaskRef&) const;
+    Resources resourcesOf(const TaskRef&) const;
     UnitKey unitOf(const TaskRef&) const;
 
     // Runs that were lost with their workers, and tasks suspected of crashing workers.
@@ -199,7 +199,7 @@
     WorkerCounts workersOfSiblings(const UnitKey&) const;
     void runRound(Millis now, Millis wall);
     std::int64_t urgentDemand(const std::string& service, Millis now);
-    static bool hasTrialRun(const Worker&);
+    static bool hasProbingRun(const Worker&);
     detail::WorkerAvailability availabilityOf(const Worker&, Millis now) const;
     Snapshot makeSnapshot(const std::string& service, Millis now) const;
     Millis expectedRunTime(const Unit&) const;
--- a/src/tasks/task_planner_advice.cc
+++ b/src/tasks/task_planner_advice.cc
@@ -55,14 +55,14 @@
 // pass over all steps. Rounds of urgent units are exempt.
 bool TaskPlanner::claimAdviceTurn(StepAdvice& stepAdvice)
 {
-    const bool isWholeRound = this->round.kind == RoundKind::Full;
-    if (isWholeRound && stepAdvice.lastPass == this->advicePass)
+    const bool isFullRound = this->round.kind == RoundKind::Full;
+    if (isFullRound && stepAdvice.lastPass == this->advicePass)
         return false;
     if (this->pendingAdviceRequests >= maxPendingAdviceRequests) {
         this->hasDeferredAdvice = true;
         return false;
     }
-    if (isWholeRound)
+    if (isFullRound)
         stepAdvice.lastPass = this->advicePass;
     return true;
 }
--- a/src/tasks/task_planner_evictions.cc
+++ b/src/tasks/task_planner_evictions.cc
@@ -64,7 +64,7 @@
     const double bound = guaranteed ? noBound : this->maxLostWork(unit);
     const auto plan = planEviction(snapshot, request, evictionCostOf, noBound);
     if (!plan || plan->lostWork > bound) {
-        this->reportEvictionRefusal(unit, plan ? EvictionRefusal::TooMuchLost : EvictionRefusal::NoRoom, plan ? plan->lostWork : 0, bound);
+        this->reportEvictionRefusal(unit, plan ? EvictionRefusal::TooMuchLost : EvictionRefusal::NotEnoughResources, plan ? plan->lostWork : 0, bound);
         return false;
     }
     for (const UnitKey& victim : plan->victims) {
@@ -85,7 +85,7 @@
     if (unit.reportedRefusal == refusal)
         return;
     unit.reportedRefusal = refusal;
-    std::string reason = refusal == EvictionRefusal::NoRoom ? "evicting all permitted runs would not free enough resources" : fmt::format("the cheapest eviction loses {:.0f} core-seconds, the limit is {:.0f}", cost, bound);
+    std::string reason = refusal == EvictionRefusal::NotEnoughResources ? "evicting all permitted runs would not free enough resources" : fmt::format("the cheapest eviction loses {:.0f} core-seconds, the limit is {:.0f}", cost, bound);
     this->emit(PlanEventKind::UnitWaits, unit.key, unit.run, "", std::move(reason));
 }
 
--- a/src/tasks/task_planner_incarnations.cc
+++ b/src/tasks/task_planner_incarnations.cc
@@ -116,7 +116,7 @@
         PlacedRun lateStart { .run = run, .unit = this->unitOf(run.task) };
         lateStart.orphaned = true;
         lateStart.phase = RunPhase::Starting;
-        lateStart.resources = this->roomOf(run.task);
+        lateStart.resources = this->resourcesOf(run.task);
         lateStart.requestStop(now);
         worker.used += lateStart.resources;
         worker.placedRuns.emplace(run, lateStart);
--- a/src/tasks/task_planner_reports.cc
+++ b/src/tasks/task_planner_reports.cc
@@ -67,14 +67,14 @@
         return;
     this->lastWaitReportAt = now;
     const std::string& service = oldest->job->terms.service;
-    std::string room = "no snapshot of its service";
+    std::string resourcesText = "no snapshot of its service";
     if (const auto snapshot = snapshots.find(service); snapshot != snapshots.end()) {
         const Snapshot::AvailableMembers offered = snapshot->second.countAvailableMembers(this->requestOf(*oldest));
-        room = fmt::format("room for {} of {} members, {} unreserved, {} now", offered.free, oldest->members(), offered.unreserved, offered.startable);
+        resourcesText = fmt::format("room for {} of {} members, {} unreserved, {} now", offered.free, oldest->members(), offered.unreserved, offered.startable);
     }
     const Millis recording = this->isBatchPending ? now - this->batchCreatedAt : 0;
     this->emit(PlanEventKind::WorkWaits, oldest->key, oldest->run, "",
-        fmt::format("for {} ms, {}; {}; {} units wait, {} of them in this round; workers: {}; {}; {}; record under way for {} ms", now - oldest->waitingSince, detail::nameOf(oldest->waitReason), room,
+        fmt::format("for {} ms, {}; {}; {} units wait, {} of them in this round; workers: {}; {}; {}; record under way for {} ms", now - oldest->waitingSince, detail::nameOf(oldest->waitReason), resourcesText,
             this->waitingUnits.size(), candidates.size(), this->availabilityText(service, now), this->overduePollsText(now), this->pendingStopsText(now), recording));
 }
 
--- a/src/tasks/task_planner_rounds.cc
+++ b/src/tasks/task_planner_rounds.cc
@@ -202,7 +202,7 @@
 
 // Whether a run that tests the worker after its quarantine is already there. Runs that were
 // confirmed before the quarantine ended don't count: they are no test, and may be long-running.
-bool TaskPlanner::hasTrialRun(const Worker& worker)
+bool TaskPlanner::hasProbingRun(const Worker& worker)
 {
     return std::any_of(worker.placedRuns.begin(), worker.placedRuns.end(), [&](const auto& row) {
         const PlacedRun& placedRun = row.second;
@@ -222,8 +222,8 @@
         return WorkerAvailability::Resting;
     if (this->isInDoubtedDomain(worker, now))
         return WorkerAvailability::Doubted;
-    if (!worker.health.canTakeRun(now, !hasTrialRun(worker)))
-        return WorkerAvailability::Distrusted;
+    if (!worker.health.canTakeRun(now, !hasProbingRun(worker)))
+        return WorkerAvailability::Quarantined;
     return worker.hasAnswered ? WorkerAvailability::Available : WorkerAvailability::NotPolled;
 }
 
@@ -392,8 +392,8 @@
             continue;
         // Eviction loses work, so a unit that fits on idle workers not polled yet waits instead:
         // after a takeover they answer within a fraction of a second.
-        const bool hasUnpolledRoom = !snapshot->second.unpolled.empty() && snapshot->second.fitsOnUnpolledWorkers(request);
-        if (couldFit && !hasUnpolledRoom && evictionSearches < maxEvictionSearches && this->canEvict(candidate, now)) {
+        const bool hasUnpolledResources = !snapshot->second.unpolled.empty() && snapshot->second.fitsOnUnpolledWorkers(request);
+        if (couldFit && !hasUnpolledResources && evictionSearches < maxEvictionSearches && this->canEvict(candidate, now)) {
             ++evictionSearches;
             ++this->round.evictionSearches;
             if (this->tryEvict(candidate, snapshot->second, request, now)) {
@@ -402,7 +402,7 @@
                 continue;
             }
         }
-        unit.waitReason = WaitReason::NoRoom;
+        unit.waitReason = WaitReason::NotEnoughResources;
         this->reportGuaranteeWait(candidate, snapshot->second, request, now);
         if (unit.excludedWorkers.empty())
             blockedStep = &unit.key;
@@ -468,7 +468,7 @@
         Worker& worker = this->workers.at(chosen[member]);
         unit.workers.push_back(worker.description.incarnation);
         PlacedRun placedRun { .run = { unit.task(static_cast<std::int64_t>(member)), unit.run }, .unit = unit.key };
-        placedRun.resources = this->roomOf(placedRun.run.task);
+        placedRun.resources = this->resourcesOf(placedRun.run.task);
         worker.used += placedRun.resources;
         worker.placedRuns.emplace(placedRun.run, placedRun);
         this->startsToRecord.emplace_back(chosen[member], placedRun.run);
--- a/src/tasks/task_planner_workers.cc
+++ b/src/tasks/task_planner_workers.cc
@@ -23,10 +23,10 @@
     worker.leaseEndsBy = std::max(worker.leaseEndsBy, now + maxDuration + clockUncertainty);
 }
 
-void TaskPlanner::workersListed(const std::vector<WorkerDescription>& sightings, Millis now)
+void TaskPlanner::workersListed(const std::vector<WorkerDescription>& descriptions, Millis now)
 {
     std::set<std::string> listed;
-    for (const WorkerDescription& seen : sightings) {
+    for (const WorkerDescription& seen : descriptions) {
         listed.insert(seen.incarnation.id);
         const auto [found, isNew] = this->workers.try_emplace(seen.incarnation.id);
         Worker& worker = found->second;
@@ -174,7 +174,7 @@
         stray.orphaned = true;
         stray.phase = RunPhase::Running;
         stray.requestStop(now);
-        stray.resources = this->roomOf(running.run.task);
+        stray.resources = this->resourcesOf(running.run.task);
         worker.used += stray.resources;
         worker.placedRuns.emplace(running.run, stray);
         return;
--- a/src/tasks/testing/long_running_tasks_test.cc
+++ b/src/tasks/testing/long_running_tasks_test.cc
@@ -41,14 +41,14 @@
     explicit ManualWorkers(int count)
         : planner({}, table, plans, now, now)
     {
-        std::vector<WorkerDescription> sightings;
+        std::vector<WorkerDescription> descriptions;
         for (int i = 0; i < count; ++i) {
             const std::string id = fmt::format("w{}", i);
             this->workers[id];
-            sightings.push_back({ .incarnation = { id, 1 }, .address = id, .service = "s", .domain = "d", .rack = "r", .labels = {}, .capacity = wholeWorker });
+            descriptions.push_back({ .incarnation = { id, 1 }, .address = id, .service = "s", .domain = "d", .rack = "r", .labels = {}, .capacity = wholeWorker });
         }
         this->planner.applyCatalog(std::make_shared<Catalog>());
-        this->planner.workersListed(sightings, this->now);
+        this->planner.workersListed(descriptions, this->now);
     }
 
     void submit(const Job& submitted)
@@ -152,7 +152,7 @@
 class LongRunningTasksTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(LongRunningTasksTest);
     CPPUNIT_TEST(capacityBesideALongRunIsNotReserved);
-    CPPUNIT_TEST(servingRunEndsAWorkerTrial);
+    CPPUNIT_TEST(servingRunEndsProbingOfAWorker);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -171,8 +171,8 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, workers.runsOf("large"));
     }
 
-    // Guards against a worker that gets no more tasks because the run of its trial does not end.
-    void servingRunEndsAWorkerTrial()
+    // Guards against a worker that gets no more tasks because its probing run does not end.
+    void servingRunEndsProbingOfAWorker()
     {
         ManualWorkers workers(1);
         workers.failAll(true);
--- a/src/tasks/testing/task_planner_test.cc
+++ b/src/tasks/testing/task_planner_test.cc
@@ -49,7 +49,7 @@
     CPPUNIT_TEST(cancelledJobIsStopped);
     CPPUNIT_TEST(guaranteedJobEvictsPatientTasks);
     CPPUNIT_TEST(waitOfUrgentJobIsReportedOnce);
-    CPPUNIT_TEST(guaranteedJobStartsBetweenWholeRounds);
+    CPPUNIT_TEST(guaranteedJobStartsBetweenFullRounds);
     CPPUNIT_TEST(waitOfGuaranteedJobIsReported);
     CPPUNIT_TEST(takeoverKeepsRunningTasks);
     CPPUNIT_TEST(tasksOfUnreachableWorkerWaitForLeaseExpiry);
@@ -63,11 +63,11 @@
     CPPUNIT_TEST(unreachableDomainDelaysAtMostTwoJobs);
     CPPUNIT_TEST(stalledTasksAreMoved);
     CPPUNIT_TEST(unequalMembersAreNotConsideredStalled);
-    CPPUNIT_TEST(tiedSlowestMembersAreNotDistrusted);
+    CPPUNIT_TEST(tiedSlowestMembersAreNotQuarantined);
     CPPUNIT_TEST(takeoverPollsBusyWorkersFirst);
     CPPUNIT_TEST(idlePollsAreLimitedWhileNoUnitWaits);
     CPPUNIT_TEST(noEvictionBeforeIdleWorkersArePolled);
-    CPPUNIT_TEST(workerThatFailsAllRunsIsDistrusted);
+    CPPUNIT_TEST(workerThatFailsAllRunsIsQuarantined);
     CPPUNIT_TEST(idleWorkersKeptForUrgentJobsAreLent);
     CPPUNIT_TEST(recordsOfFinalJobsAreDeleted);
     CPPUNIT_TEST(longRunningTasksAreRestarted);
@@ -171,7 +171,7 @@
 
     // Guards against a guaranteed job that starts late because the last round over all units took
     // long, so that such rounds pause.
-    void guaranteedJobStartsBetweenWholeRounds()
+    void guaranteedJobStartsBetweenFullRounds()
     {
         constexpr Millis roundDuration = 800;
         VirtualSite site({ .seed = 8, .failures = 0 });
@@ -440,9 +440,9 @@
         assertNoViolations(site);
     }
 
-    // Guards against a healthy worker that is distrusted. Two members of a gang stand still and the
+    // Guards against a healthy worker that is quarantined. Two members of a gang stand still and the
     // third has progressed, so it is unknown which of the two blocks the other.
-    void tiedSlowestMembersAreNotDistrusted()
+    void tiedSlowestMembersAreNotQuarantined()
     {
         VirtualSite site({ .seed = 31, .workers = 4, .failures = 0 });
         site.newPlanner();
@@ -525,7 +525,7 @@
         assertNoViolations(site);
     }
 
-    void workerThatFailsAllRunsIsDistrusted()
+    void workerThatFailsAllRunsIsQuarantined()
     {
         VirtualSite site({ .seed = 12, .workers = 8, .failures = 0 });
         site.failAll("w03", true);
--- a/src/tasks/testing/virtual_site.cc
+++ b/src/tasks/testing/virtual_site.cc
@@ -17,7 +17,7 @@
     planning.hasAdviceService = true;
     this->planner = std::make_unique<TaskPlanner>(planning, this->table, this->plans, this->now, this->now);
     this->planner->applyCatalog(this->catalog);
-    this->planner->workersListed(this->sightings(), this->now);
+    this->planner->workersListed(this->workerDescriptions(), this->now);
 }
 
 void VirtualSite::killPlanner()
@@ -103,7 +103,7 @@
 void VirtualSite::publishWorkers()
 {
     if (this->planner)
-        this->planner->workersListed(this->sightings(), this->now);
+        this->planner->workersListed(this->workerDescriptions(), this->now);
 }
 
 void VirtualSite::answerAdvice(const AdviceOrder& order)
--- a/src/tasks/testing/virtual_site.h
+++ b/src/tasks/testing/virtual_site.h
@@ -173,7 +173,7 @@
         Millis waitingSince { 0 };
         Millis stopsAt { 0 };
         bool willFail { false };
-        Resources room;
+        Resources resources;
     };
 
     struct Worker {
@@ -203,7 +203,7 @@
     void addWorker(const std::string& id, const std::string& rack);
     void dropRuns(Worker&, const std::string& id);
 
-    std::vector<WorkerDescription> sightings() const;
+    std::vector<WorkerDescription> workerDescriptions() const;
 
     void publishWorkers();
 
--- a/src/tasks/testing/virtual_site_lost_work.cc
+++ b/src/tasks/testing/virtual_site_lost_work.cc
@@ -41,9 +41,9 @@
             continue;
         Resources free = worker.capacity;
         for (const auto& [ref, run] : worker.running) {
-            free -= run.room;
+            free -= run.resources;
             view.running.insert(ref.task);
-            view.usedAccelerators += run.room.accelerators;
+            view.usedAccelerators += run.resources.accelerators;
         }
         view.accelerators += worker.capacity.accelerators;
         constexpr int failureLimit = 2; // After this many failures the planner may stop using the worker.
--- a/src/tasks/testing/virtual_site_workers.cc
+++ b/src/tasks/testing/virtual_site_workers.cc
@@ -123,23 +123,23 @@
     this->workers.emplace(id, worker);
 }
 
-std::vector<WorkerDescription> VirtualSite::sightings() const
+std::vector<WorkerDescription> VirtualSite::workerDescriptions() const
 {
     std::vector<WorkerDescription> result;
     for (const auto& [id, worker] : this->workers) {
         if (!worker.listed)
             continue;
-        WorkerDescription sighting;
-        sighting.incarnation = { id, worker.born };
-        sighting.address = id;
-        sighting.service = std::string("s"); // GCC 12 gives a false warning if a one-letter literal is assigned.
-        sighting.rack = worker.rack;
-        sighting.domain = worker.rack; // Each rack is a separate failure domain.
-        sighting.labels = { "k", worker.rack };
-        sighting.capacity = worker.capacity;
-        sighting.leaving = worker.leaving;
-        sighting.remaining = worker.leaving ? 2000 : 0;
-        result.push_back(sighting);
+        WorkerDescription description;
+        description.incarnation = { id, worker.born };
+        description.address = id;
+        description.service = std::string("s"); // GCC 12 gives a false warning if a one-letter literal is assigned.
+        description.rack = worker.rack;
+        description.domain = worker.rack; // Each rack is a separate failure domain.
+        description.labels = { "k", worker.rack };
+        description.capacity = worker.capacity;
+        description.leaving = worker.leaving;
+        description.remaining = worker.leaving ? 2000 : 0;
+        result.push_back(description);
     }
     return result;
 }
@@ -181,7 +181,7 @@
     run.checkpoint = order.checkpoint;
     run.gangSize = step.gang ? step.count : 1;
     run.waitingSince = this->now;
-    run.room = step.perTask;
+    run.resources = step.perTask;
     run.willFail = worker.failsAll || this->randomShare() < this->options.failures;
     worker.running.emplace(order.run, run);
     const auto crashes = this->crashDelays.find(task.job);
@@ -229,7 +229,7 @@
     constexpr Millis maxListDelay = 4500;
     Resources used = this->stepOf(order.run.task).perTask;
     for (const auto& [ref, run] : worker.running)
-        used += run.room;
+        used += run.resources;
     bool isAllowed = used.fitsIn(worker.capacity);
     for (const auto& [replacedAt, capacity] : worker.formerCapacities)
         isAllowed = isAllowed || (this->now < replacedAt + maxListDelay && used.fitsIn(capacity));
--- a/src/tasks/wait_reason.h
+++ b/src/tasks/wait_reason.h
@@ -18,7 +18,7 @@
     NoAdvice, // The workers that the queue's policy allows are not known yet.
     NoWorkerForIsolation, // The unit must run alone, and every worker has other runs.
     AwaitsStops, // Runs that are being stopped will free its resources.
-    NoRoom, // No workers have enough free resources.
+    NotEnoughResources, // No workers have enough free resources.
 };
 
 inline constexpr std::array<std::string_view, 7> waitReasonNames { "not looked at", "pauses after a failure", "behind a unit of its step", "no advice", "no worker for itself", "waits for stops", "no room" };
@@ -33,7 +33,7 @@
     Silent, // The last call had no answer.
     Resting, // A late poll could still acknowledge ends there that were never read.
     Doubted, // Its whole failure domain may be cut off.
-    Distrusted, // Quarantined, since two runs in a row failed there or one stalled.
+    Quarantined, // Two runs in a row failed there or one stalled.
     NotPolled, // It has not answered a poll of this term yet.
 };
 
--- a/src/tasks/worker.h
+++ b/src/tasks/worker.h
@@ -68,7 +68,7 @@
     Started, // Also if it was already running.
     NoAnswer, // The start may have been carried out, or may still be.
     NotSent,
-    NoRoom,
+    NotEnoughResources,
     Superseded, // The worker knows a run of this task with the same or a higher number.
     LeaseExpired, // The lease had expired when the start arrived.
     Unavailable, // The worker accepts no runs at present.
