--- a/src/delivery/worker_protocol.h
+++ b/src/delivery/worker_protocol.h
@@ -46,7 +46,7 @@
     virtual std::optional<std::vector<tasks::AllowedWorker>> parseAdvice(const http::Reply&) const = 0;
 
     // Parses one entry of the list of workers.
-    virtual Result<tasks::WorkerDescription> parseSighting(const std::string& id, std::string_view entry) const = 0;
+    virtual Result<tasks::WorkerDescription> parseWorkerDescription(const std::string& id, std::string_view entry) const = 0;
 };
 
 } // namespace rattan::delivery
--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -377,7 +377,7 @@
         target.erase(record.key);
         return;
     }
-    const Attempt<tasks::WorkerDescription> sighting = attempt([&] { return this->services.workers.parseSighting(record.key, record.value); });
+    const Attempt<tasks::WorkerDescription> sighting = attempt([&] { return this->services.workers.parseWorkerDescription(record.key, record.value); });
     if (sighting.value) {
         target[record.key] = *sighting.value;
         return;
