--- a/src/instance/control_loop.cc
+++ b/src/instance/control_loop.cc
@@ -56,7 +56,7 @@
     , protocols(protocols)
     , clock(clock)
     , metrics(metrics)
-    , client({ .maxConnectionsPerPeer = connectionsPerPeer }, clock)
+    , client({ .maxConnectionsPerPeer = maxConnectionsPerPeer }, clock)
     , gateway(gatewayOptions(this->settings), protocols.callers, this->jobs)
     , requestForwarder(this->client, protocols.callers, clock, this->settings.callerAddress)
     , configurationReader(this->client, protocols.store, clock, readerOptions(this->settings, Stream::Configuration), *this)
--- a/src/instance/control_loop_limits.h
+++ b/src/instance/control_loop_limits.h
@@ -68,6 +68,6 @@
 
 // Connections to the store. Reads of three streams block, and the worker list, records, claims,
 // appends and two probes must not queue behind them.
-inline constexpr long connectionsPerPeer = 10;
+inline constexpr long maxConnectionsPerPeer = 10;
 
 } // namespace rattan::instance::detail
--- a/src/instance/control_loop_term.cc
+++ b/src/instance/control_loop_term.cc
@@ -48,8 +48,8 @@
         this->claimInFlight = false;
         const AppendStatus status = this->protocols.store.parseAppend(reply).status;
         const AppendOutcome outcome = status == AppendStatus::Appended ? AppendOutcome::Appended
-            : status == AppendStatus::Elsewhere                        ? AppendOutcome::EndMoved
-            : status == AppendStatus::NotDone                          ? AppendOutcome::NotAppended
+            : status == AppendStatus::EndMoved                         ? AppendOutcome::EndMoved
+            : status == AppendStatus::NotAppended                      ? AppendOutcome::NotAppended
                                                                        : AppendOutcome::Unknown;
         this->election.didAppend(outcome, this->clock.now());
     });
--- a/src/instance/gateway.cc
+++ b/src/instance/gateway.cc
@@ -64,7 +64,7 @@
     const bool isPossiblyOutdated = !this->isStoreReachable(now);
     const tasks::Queue* queue = this->catalog->queueFor(request.host, request.path);
     if (!queue)
-        return this->answer(ticket, waiting, { .outcome = Outcome::NoSuchQueue, .givenWithoutStore = isPossiblyOutdated }, now);
+        return this->answer(ticket, waiting, { .outcome = Outcome::NoSuchQueue, .canPeerHelp = isPossiblyOutdated }, now);
     std::string workspace;
     if (!queue->allowsAnonymous) {
         // Otherwise a revoked key would keep working here until this instance reads the
@@ -73,7 +73,7 @@
             return this->refuse(ticket, waiting, "the operators' configuration cannot be read at present", now);
         const std::string* keyWorkspace = this->catalog->workspaceFor(request.apiKey);
         if (!keyWorkspace)
-            return this->answer(ticket, waiting, { .outcome = Outcome::UnknownKey, .givenWithoutStore = isPossiblyOutdated }, now);
+            return this->answer(ticket, waiting, { .outcome = Outcome::UnknownKey, .canPeerHelp = isPossiblyOutdated }, now);
         workspace = *keyWorkspace;
     } else if (const std::string* keyWorkspace = this->catalog->workspaceFor(request.apiKey)) {
         workspace = *keyWorkspace;
@@ -144,7 +144,7 @@
         return;
     }
     if (entry)
-        return this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->visibleState(), .givenWithoutStore = !isFinal(entry->visibleState()) && !this->isStoreReachable(now) }, now);
+        return this->answer(ticket, waiting, { .outcome = Outcome::State, .state = entry->visibleState(), .canPeerHelp = !isFinal(entry->visibleState()) && !this->isStoreReachable(now) }, now);
     if (!this->isStoreReachable(now))
         return this->refuse(ticket, waiting, "the store is out of reach", now);
     waiting.awaited = AwaitedEvent::JobsConfirmed;
@@ -259,7 +259,7 @@
         this->waitingRequests.erase(current);
         const JobEntry* entry = this->jobs.find(waiting.jobId);
         if (waiting.request.kind == RequestKind::Cancel && this->isJobPossiblyStored(waiting.jobId))
-            this->answer(ticket, waiting, { .outcome = Outcome::Unknown, .message = "the job may be stored yet", .givenWithoutStore = true }, now);
+            this->answer(ticket, waiting, { .outcome = Outcome::Unknown, .message = "the job may be stored yet", .canPeerHelp = true }, now);
         else if (!entry)
             this->answer(ticket, waiting, { .outcome = Outcome::NoSuchJob }, now);
         else if (waiting.request.kind == RequestKind::Cancel)
@@ -320,7 +320,7 @@
     const JobEntry* entry = this->jobs.find(waiting.jobId);
     const bool isPossiblyDone = (kind == RequestKind::Submit && (entry || this->isPossiblyStored(tasks::formatKey({ RecordKind::Job, waiting.jobId }))))
         || (kind == RequestKind::Cancel && ((entry && entry->cancelled) || this->isJobPossiblyStored(waiting.jobId) || this->isPossiblyStored(tasks::formatKey({ RecordKind::Cancel, waiting.jobId }))));
-    this->answer(ticket, waiting, { .outcome = isPossiblyDone ? Outcome::Unknown : Outcome::NotNow, .retryAfter = retryDelay, .message = std::move(why), .givenWithoutStore = true }, now);
+    this->answer(ticket, waiting, { .outcome = isPossiblyDone ? Outcome::Unknown : Outcome::NotNow, .retryAfter = retryDelay, .message = std::move(why), .canPeerHelp = true }, now);
 }
 
 void Gateway::answer(std::uint64_t ticket, const WaitingRequest& waiting, CallerAnswer answer, Millis now)
--- a/src/instance/leadership.cc
+++ b/src/instance/leadership.cc
@@ -205,13 +205,13 @@
 void Leadership::updateWorkers(Millis now)
 {
     this->workerListChanged = false;
-    std::vector<tasks::WorkerDescription> currentSightings;
+    std::vector<tasks::WorkerDescription> currentWorkerDescriptions;
     std::vector<delivery::WorkerLocation> places;
-    for (const auto& [id, sighting] : this->sightings) {
-        currentSightings.push_back(sighting);
-        places.push_back({ id, sighting.domain });
+    for (const auto& [id, description] : this->workerDescriptions) {
+        currentWorkerDescriptions.push_back(description);
+        places.push_back({ id, description.domain });
     }
-    this->planner->workersListed(currentSightings, now);
+    this->planner->workersListed(currentWorkerDescriptions, now);
     this->services.relaySelector.setWorkers(std::move(places));
 }
 
@@ -371,26 +371,26 @@
 
 void Leadership::recordRead(Stream, const StoreRecord& record, Millis)
 {
-    auto& target = this->loadingWorkerList ? this->loadingSightings : this->sightings;
+    auto& target = this->loadingWorkerList ? this->loadingWorkerDescriptions : this->workerDescriptions;
     this->workerListChanged = true;
     if (record.value.empty()) {
         target.erase(record.key);
         return;
     }
-    const Attempt<tasks::WorkerDescription> sighting = attempt([&] { return this->services.workers.parseWorkerDescription(record.key, record.value); });
-    if (sighting.value) {
-        target[record.key] = *sighting.value;
+    const Attempt<tasks::WorkerDescription> description = attempt([&] { return this->services.workers.parseWorkerDescription(record.key, record.value); });
+    if (description.value) {
+        target[record.key] = *description.value;
         return;
     }
     // The record was written by another program or is damaged, so it describes no usable worker.
     target.erase(record.key);
-    logEvent(events::recordUnreadable, { { "stream", "workers" }, { "key", record.key }, { "why", sighting.error.message } });
+    logEvent(events::recordUnreadable, { { "stream", "workers" }, { "key", record.key }, { "why", description.error.message } });
 }
 
 void Leadership::loadStarted(Stream)
 {
     this->loadingWorkerList = true;
-    this->loadingSightings.clear();
+    this->loadingWorkerDescriptions.clear();
 }
 
 void Leadership::streamConfirmed(Stream, std::int64_t, Millis, Millis)
@@ -398,8 +398,8 @@
     if (!this->loadingWorkerList)
         return;
     this->loadingWorkerList = false;
-    this->sightings = std::move(this->loadingSightings);
-    this->loadingSightings.clear();
+    this->workerDescriptions = std::move(this->loadingWorkerDescriptions);
+    this->loadingWorkerDescriptions.clear();
     this->workerListChanged = true;
 }
 
--- a/src/instance/leadership.h
+++ b/src/instance/leadership.h
@@ -105,8 +105,8 @@
     delivery::DirectChannel directChannel;
     delivery::RelayedChannel relayedChannel;
     StreamReader workersReader;
-    std::map<std::string, tasks::WorkerDescription> sightings;
-    std::map<std::string, tasks::WorkerDescription> loadingSightings;
+    std::map<std::string, tasks::WorkerDescription> workerDescriptions;
+    std::map<std::string, tasks::WorkerDescription> loadingWorkerDescriptions;
     bool loadingWorkerList { false };
     bool workerListChanged { false };
     WorkerClocks workerClocks;
--- a/src/instance/request_forwarder.cc
+++ b/src/instance/request_forwarder.cc
@@ -34,7 +34,7 @@
 
 bool RequestForwarder::shouldForward(const CallerRequest& request, const CallerAnswer& answer, Millis waitTime) const
 {
-    return answer.givenWithoutStore && !request.forwarded && this->remainingTime(request, waitTime) >= minForwardTime && this->peers.choose(this->clock.now()).has_value();
+    return answer.canPeerHelp && !request.forwarded && this->remainingTime(request, waitTime) >= minForwardTime && this->peers.choose(this->clock.now()).has_value();
 }
 
 void RequestForwarder::forward(const CallerRequest& request, const CallerAnswer& ownAnswer, Millis waitTime, Handler handler)
--- a/src/instance/store_protocol.h
+++ b/src/instance/store_protocol.h
@@ -47,10 +47,10 @@
 
 enum class AppendStatus {
     Appended,
-    Elsewhere, // The stream ends at another offset, possibly because this append succeeded and its response was lost.
+    EndMoved, // The stream ends at another offset, possibly because this append succeeded and its response was lost.
     Fenced, // A later epoch has begun.
     WrongNumber, // The producer's number is wrong; AppendReply::expectedNumber is the right one.
-    NotDone,
+    NotAppended,
     Unknown, // The append may have been executed, or may be executed later.
 };
 
--- a/src/instance/testing/gateway_test.cc
+++ b/src/instance/testing/gateway_test.cc
@@ -152,12 +152,12 @@
         this->expect(1, Outcome::Unknown);
         this->request(2, RequestKind::Submit, startTime + 1000);
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->appendCompleted({ testJobKey }, AppendStatus::NotDone, startTime + 1010);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::NotAppended, startTime + 1010);
         this->expect(2, Outcome::Unknown);
         // Another job was never appended before, and gets a plain refusal.
         this->request(3, RequestKind::Submit, startTime + 1100, "/p/0000000000000001");
         this->gateway->takeRecords(100, 1 << 20);
-        this->gateway->appendCompleted({ "job/0000000000000001" }, AppendStatus::NotDone, startTime + 1110);
+        this->gateway->appendCompleted({ "job/0000000000000001" }, AppendStatus::NotAppended, startTime + 1110);
         this->expect(3, Outcome::NotNow);
     }
 
@@ -189,7 +189,7 @@
         this->expect(3, Outcome::Unknown);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, this->gateway->takeRecords(100, 1 << 20).size());
         this->request(4, RequestKind::Submit, startTime + 1);
-        this->gateway->appendCompleted({ testJobKey }, AppendStatus::NotDone, startTime + 1600);
+        this->gateway->appendCompleted({ testJobKey }, AppendStatus::NotAppended, startTime + 1600);
         for (const GatewayAnswer& answer : this->gateway->takeAnswers())
             CPPUNIT_ASSERT(answer.answer.outcome == Outcome::NotNow); // No request waits for the record.
     }
@@ -246,16 +246,16 @@
     // so that another instance is tried; while the store is reachable they are not marked.
     void outdatedConfigurationMarksAnswerForForwarding()
     {
-        const auto givenWithoutStore = [this](Millis at, const std::string& path, const std::string& key) {
+        const auto canPeerHelp = [this](Millis at, const std::string& path, const std::string& key) {
             this->request(1, RequestKind::Submit, at, path, key);
-            return this->gateway->takeAnswers().at(0).answer.givenWithoutStore;
+            return this->gateway->takeAnswers().at(0).answer.canPeerHelp;
         };
         const std::string unknownQueue = "/q/" + testJobId;
         const std::string knownQueue = "/p/" + testJobId;
-        CPPUNIT_ASSERT(!givenWithoutStore(startTime + 100, unknownQueue, "key"));
-        CPPUNIT_ASSERT(!givenWithoutStore(startTime + 100, knownQueue, "other key"));
-        CPPUNIT_ASSERT(givenWithoutStore(startTime + 1500, unknownQueue, "key"));
-        CPPUNIT_ASSERT(givenWithoutStore(startTime + 1500, knownQueue, "other key"));
+        CPPUNIT_ASSERT(!canPeerHelp(startTime + 100, unknownQueue, "key"));
+        CPPUNIT_ASSERT(!canPeerHelp(startTime + 100, knownQueue, "other key"));
+        CPPUNIT_ASSERT(canPeerHelp(startTime + 1500, unknownQueue, "key"));
+        CPPUNIT_ASSERT(canPeerHelp(startTime + 1500, knownQueue, "other key"));
     }
 
     // An instance is cut off from the store while an operator revokes a key. Its callers could
--- a/src/instance/testing/request_forwarder_test.cc
+++ b/src/instance/testing/request_forwarder_test.cc
@@ -34,7 +34,7 @@
     }
 };
 
-CallerAnswer answerWithoutStore(Outcome outcome) { return { .outcome = outcome, .message = "own", .givenWithoutStore = true }; }
+CallerAnswer forwardableAnswer(Outcome outcome) { return { .outcome = outcome, .message = "own", .canPeerHelp = true }; }
 
 class RequestForwarderTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(RequestForwarderTest);
@@ -69,7 +69,7 @@
     // most of the delay that an urgent job can afford.
     void requestIsServedByPlanningInstance()
     {
-        const CallerAnswer answer = this->forward(Outcome::Accepted, answerWithoutStore(Outcome::NotNow));
+        const CallerAnswer answer = this->forward(Outcome::Accepted, forwardableAnswer(Outcome::NotNow));
         CPPUNIT_ASSERT(answer.outcome == Outcome::Accepted);
         CPPUNIT_ASSERT_EQUAL(std::string("relayed"), this->receivedBody);
     }
@@ -77,11 +77,11 @@
     void requestIsForwardedOnlyIfPeerMayHelp()
     {
         CallerRequest request;
-        CPPUNIT_ASSERT(this->forwarder->shouldForward(request, answerWithoutStore(Outcome::NotNow), 0));
-        CPPUNIT_ASSERT(!this->forwarder->shouldForward(request, answerWithoutStore(Outcome::NotNow), 2700)); // Not enough time is left.
+        CPPUNIT_ASSERT(this->forwarder->shouldForward(request, forwardableAnswer(Outcome::NotNow), 0));
+        CPPUNIT_ASSERT(!this->forwarder->shouldForward(request, forwardableAnswer(Outcome::NotNow), 2700)); // Not enough time is left.
         CPPUNIT_ASSERT(!this->forwarder->shouldForward(request, { .outcome = Outcome::UnknownKey }, 0));
         request.forwarded = true;
-        CPPUNIT_ASSERT(!this->forwarder->shouldForward(request, answerWithoutStore(Outcome::NotNow), 0));
+        CPPUNIT_ASSERT(!this->forwarder->shouldForward(request, forwardableAnswer(Outcome::NotNow), 0));
     }
 
     // This instance's own append may still be executed. With the other instance's refusal, for
@@ -89,18 +89,18 @@
     // job never runs although it may.
     void peerRefusalDoesNotReplaceUnknownOutcome()
     {
-        CPPUNIT_ASSERT(this->forward(Outcome::NotNow, answerWithoutStore(Outcome::Unknown)).outcome == Outcome::Unknown);
-        CPPUNIT_ASSERT(this->forward(Outcome::UnknownKey, answerWithoutStore(Outcome::Unknown)).outcome == Outcome::Unknown);
-        CPPUNIT_ASSERT(this->forward(Outcome::UnknownKey, answerWithoutStore(Outcome::NotNow)).outcome == Outcome::UnknownKey);
-        CPPUNIT_ASSERT(this->forward(Outcome::Accepted, answerWithoutStore(Outcome::Unknown)).outcome == Outcome::Accepted);
-        CPPUNIT_ASSERT(this->forward(Outcome::NotNow, answerWithoutStore(Outcome::State)).outcome == Outcome::State);
+        CPPUNIT_ASSERT(this->forward(Outcome::NotNow, forwardableAnswer(Outcome::Unknown)).outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(this->forward(Outcome::UnknownKey, forwardableAnswer(Outcome::Unknown)).outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(this->forward(Outcome::UnknownKey, forwardableAnswer(Outcome::NotNow)).outcome == Outcome::UnknownKey);
+        CPPUNIT_ASSERT(this->forward(Outcome::Accepted, forwardableAnswer(Outcome::Unknown)).outcome == Outcome::Accepted);
+        CPPUNIT_ASSERT(this->forward(Outcome::NotNow, forwardableAnswer(Outcome::State)).outcome == Outcome::State);
     }
 
     // Both instances are cut off, the other one for longer. Its "no such queue" is based on a
     // configuration that, as this instance knows, was replaced.
     void peerDenialFromOlderConfigurationIsIgnored()
     {
-        CallerAnswer ownAnswer = answerWithoutStore(Outcome::NotNow);
+        CallerAnswer ownAnswer = forwardableAnswer(Outcome::NotNow);
         ownAnswer.configurationVersion = 8;
         for (const Outcome denial : { Outcome::NoSuchQueue, Outcome::UnknownKey, Outcome::State })
             CPPUNIT_ASSERT(this->forward(denial, ownAnswer).outcome == Outcome::NotNow);
@@ -110,7 +110,7 @@
     void peerAcceptanceWithOlderConfigurationIsKept()
     {
         for (const Outcome outcome : { Outcome::NotNow, Outcome::UnknownKey, Outcome::NoSuchQueue }) {
-            CallerAnswer ownAnswer = answerWithoutStore(outcome);
+            CallerAnswer ownAnswer = forwardableAnswer(outcome);
             ownAnswer.configurationVersion = 8;
             CPPUNIT_ASSERT(this->forward(Outcome::Accepted, ownAnswer).outcome == Outcome::Accepted);
             CPPUNIT_ASSERT(this->forward(Outcome::Cancelled, ownAnswer).outcome == Outcome::Cancelled);
@@ -123,7 +123,7 @@
     void unknownPeerOutcomeIsNotReplacedByRefusal()
     {
         for (const Outcome ownAnswer : { Outcome::NotNow, Outcome::UnknownKey, Outcome::NoSuchQueue })
-            CPPUNIT_ASSERT(this->forward(Outcome::Unknown, answerWithoutStore(ownAnswer)).outcome == Outcome::Unknown);
+            CPPUNIT_ASSERT(this->forward(Outcome::Unknown, forwardableAnswer(ownAnswer)).outcome == Outcome::Unknown);
     }
 
     // Guards against a refusal of a job that the other instance stored at the first transmission,
@@ -134,8 +134,8 @@
         const http::testing::DroppingPeer peer({ { 200, std::string(nameOf(Outcome::Accepted)) }, { 200, rejection } });
         this->forwarder->plannerSeen(peer.address());
         CallerRequest request { .kind = RequestKind::Submit, .path = "/any" };
-        CPPUNIT_ASSERT(this->forward(request, answerWithoutStore(Outcome::NotNow)).outcome == Outcome::Accepted);
-        CPPUNIT_ASSERT(this->forward(request, answerWithoutStore(Outcome::NotNow)).outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(this->forward(request, forwardableAnswer(Outcome::NotNow)).outcome == Outcome::Accepted);
+        CPPUNIT_ASSERT(this->forward(request, forwardableAnswer(Outcome::NotNow)).outcome == Outcome::Unknown);
         CPPUNIT_ASSERT_EQUAL(3, peer.requests());
     }
 
@@ -144,8 +144,8 @@
     void unreachablePeerIsAvoided()
     {
         this->server.reset();
-        CPPUNIT_ASSERT(this->forward(Outcome::Accepted, answerWithoutStore(Outcome::NotNow)).outcome == Outcome::NotNow);
-        CPPUNIT_ASSERT(!this->forwarder->shouldForward({}, answerWithoutStore(Outcome::NotNow), 0));
+        CPPUNIT_ASSERT(this->forward(Outcome::Accepted, forwardableAnswer(Outcome::NotNow)).outcome == Outcome::NotNow);
+        CPPUNIT_ASSERT(!this->forwarder->shouldForward({}, forwardableAnswer(Outcome::NotNow), 0));
     }
 
     void unreadablePeerAnswerIsUnknown()
@@ -153,7 +153,7 @@
         CallerRequest request;
         request.kind = RequestKind::Submit;
         request.path = "/nonsense";
-        CPPUNIT_ASSERT(this->forward(request, answerWithoutStore(Outcome::NotNow)).outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(this->forward(request, forwardableAnswer(Outcome::NotNow)).outcome == Outcome::Unknown);
     }
 
     void previousPlannerIsTriedNext()
@@ -175,7 +175,7 @@
     void nothingIsForwardedPastShutdownDeadline()
     {
         this->forwarder->setAnswerDeadline(this->clock.now());
-        CPPUNIT_ASSERT(!this->forwarder->shouldForward({}, answerWithoutStore(Outcome::NotNow), 0));
+        CPPUNIT_ASSERT(!this->forwarder->shouldForward({}, forwardableAnswer(Outcome::NotNow), 0));
     }
 
 private:
--- a/src/instance/testing/term_appender_test.cc
+++ b/src/instance/testing/term_appender_test.cc
@@ -22,7 +22,7 @@
             call.body += record.value;
         return call;
     }
-    AppendReply parseAppend(const http::Reply& reply) const override { return { .status = reply.ok() ? AppendStatus::Appended : AppendStatus::NotDone }; }
+    AppendReply parseAppend(const http::Reply& reply) const override { return { .status = reply.ok() ? AppendStatus::Appended : AppendStatus::NotAppended }; }
     http::Call read(Stream, std::int64_t, Millis) const override { return {}; }
     Result<ReadReply> parseRead(const http::Reply&, std::int64_t) const override { return ReadReply {}; }
     http::Call listNewest(Stream, const std::string&) const override { return {}; }
