--- a/src/tasks/testing/idle_capacity_test.cc
+++ b/src/tasks/testing/idle_capacity_test.cc
@@ -35,7 +35,7 @@
 class IdleCapacityTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(IdleCapacityTest);
     CPPUNIT_TEST(excludedWorkerDoesNotBlockOtherTasks);
-    CPPUNIT_TEST(untrustedWorkerIsRetriedBesideALongRun);
+    CPPUNIT_TEST(quarantinedWorkerIsRetriedBesideALongRun);
     CPPUNIT_TEST(unplaceableUnitsDoNotDelayEvictionForOthers);
     CPPUNIT_TEST(adviceRequestsReachAllSteps);
     CPPUNIT_TEST(occurrenceEndedOutOfOrderSurvivesTakeover);
@@ -62,7 +62,7 @@
     }
 
     // Guards against capacity that stays unused until the run beside it ends, which may take long.
-    void untrustedWorkerIsRetriedBesideALongRun()
+    void quarantinedWorkerIsRetriedBesideALongRun()
     {
         VirtualSite site({ .seed = 71, .workers = 1, .failures = 0 });
         site.newPlanner();
@@ -77,7 +77,7 @@
         site.failAll("w00", false);
         site.submit(createJob("good", 3, oneAccelerator, 400));
         site.run(site.now + 1000);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.runsOf("good")); // The worker is not trusted yet.
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, site.runsOf("good")); // The worker is still quarantined.
         site.run(site.now + 9000);
         CPPUNIT_ASSERT(site.stateOf("good") == JobState::Completed);
         CPPUNIT_ASSERT(site.stateOf("long") == JobState::Running);
