--- a/src/instance/testing/request_forwarder_test.cc
+++ b/src/instance/testing/request_forwarder_test.cc
@@ -39,7 +39,7 @@
 class RequestForwarderTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(RequestForwarderTest);
     CPPUNIT_TEST(requestIsServedByPlanningInstance);
-    CPPUNIT_TEST(requestIsForwardedOnlyIfPeerMayHelp);
+    CPPUNIT_TEST(requestIsForwardedOnlyIfPeerCanHelp);
     CPPUNIT_TEST(peerRefusalDoesNotReplaceUnknownOutcome);
     CPPUNIT_TEST(peerDenialFromOlderConfigurationIsIgnored);
     CPPUNIT_TEST(peerAcceptanceWithOlderConfigurationIsKept);
@@ -74,7 +74,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("relayed"), this->receivedBody);
     }
 
-    void requestIsForwardedOnlyIfPeerMayHelp()
+    void requestIsForwardedOnlyIfPeerCanHelp()
     {
         CallerRequest request;
         CPPUNIT_ASSERT(this->forwarder->shouldForward(request, forwardableAnswer(Outcome::NotNow), 0));
