--- a/src/tasks/testing/virtual_site.h
+++ b/src/tasks/testing/virtual_site.h
@@ -204,7 +204,7 @@
     void addWorker(const std::string& id, const std::string& rack);
     void dropRuns(Worker&, const std::string& id);
 
-    std::vector<WorkerDescription> sightings() const;
+    std::vector<WorkerDescription> workerDescriptions() const;
 
     void publishWorkers();
 
